--- a/crates/galenapath-gateway/src/error.rs
+++ b/crates/galenapath-gateway/src/error.rs
@@ -6,15 +6,15 @@
 /// Why an instance could not start.
 #[derive(Debug, Error)]
 pub enum GatewayError {
-    /// An address cannot be listened on.
+    /// Binding a listen address failed.
     #[error("cannot listen on {address} (listen.{key})")]
     Listen {
-        /// Key of the setting.
+        /// Key of the setting under `listen`.
         key: &'static str,
         /// The address.
         address: SocketAddr,
     },
-    /// Something else that the instance needs cannot be had.
+    /// Setting up another resource of the instance failed.
     #[error("cannot start {0}")]
     Start(&'static str),
 }
--- a/crates/galenapath-gateway/src/fleet/convert.rs
+++ b/crates/galenapath-gateway/src/fleet/convert.rs
@@ -1,4 +1,4 @@
-//! Between the wire types and the types that the code works with.
+//! Conversions between the wire types and the types used in the code.
 
 use super::generated::{
     BeatWire, CrashWire, DatagramWire, EndWire, EvacuationWire, FailureWire, FleetMemberWire,
@@ -38,16 +38,16 @@
 }
 
 impl From<&Beat> for BeatWire {
-    fn from(beat: &Beat) -> Self {
+    fn from(heartbeat: &Beat) -> Self {
         Self {
-            from: beat.from.0,
-            flags: flags(&beat.vitals),
-            rate: beat.vitals.rate,
-            capacity: beat.vitals.capacity,
-            config_version: beat.vitals.config_version,
-            position: beat.vitals.position,
-            accused: beat.accused.iter().map(|id| id.0).collect(),
-            digest: beat.digest,
+            from: heartbeat.from.0,
+            flags: flags(&heartbeat.vitals),
+            rate: heartbeat.vitals.rate,
+            capacity: heartbeat.vitals.capacity,
+            config_version: heartbeat.vitals.config_version,
+            position: heartbeat.vitals.position,
+            accused: heartbeat.accused.iter().map(|id| id.0).collect(),
+            digest: heartbeat.digest,
         }
     }
 }
@@ -126,7 +126,7 @@
     }
 }
 
-/// Hundredths in one.
+/// Wire units of a failure weight of one.
 const HUNDREDTHS: f32 = 100.0;
 
 impl From<&FailureNote> for FailureWire {
@@ -167,19 +167,19 @@
     }
 }
 
-/// Bits in a half of a fingerprint.
-const HALF: u32 = 64;
+/// Bits in one half of a fingerprint.
+const HALF_BITS: u32 = 64;
 
 impl From<&CrashNote> for CrashWire {
     fn from(note: &CrashNote) -> Self {
         let CrashNote { server, request: Fingerprint(request) } = *note;
-        Self { server, request_high: (request >> HALF) as u64, request_low: request as u64 }
+        Self { server, request_high: (request >> HALF_BITS) as u64, request_low: request as u64 }
     }
 }
 
 impl From<CrashWire> for CrashNote {
     fn from(wire: CrashWire) -> Self {
-        let request = u128::from(wire.request_high) << HALF | u128::from(wire.request_low);
+        let request = u128::from(wire.request_high) << HALF_BITS | u128::from(wire.request_low);
         Self { server: wire.server, request: Fingerprint(request) }
     }
 }
@@ -218,7 +218,7 @@
 impl From<&Datagram> for DatagramWire {
     fn from(datagram: &Datagram) -> Self {
         match datagram {
-            Datagram::Beat(beat) => Self::B(beat.into()),
+            Datagram::Heartbeat(heartbeat) => Self::B(heartbeat.into()),
             Datagram::Hello(member) => Self::H(HelloWire { from: member.into() }),
             Datagram::Members(members) => {
                 Self::M(MembersWire { members: members.iter().map(Into::into).collect() })
@@ -240,7 +240,7 @@
 
     fn try_from(wire: DatagramWire) -> Result<Self, String> {
         Ok(match wire {
-            DatagramWire::B(beat) => Self::Beat(beat.into()),
+            DatagramWire::B(heartbeat) => Self::Heartbeat(heartbeat.into()),
             DatagramWire::H(hello) => Self::Hello(hello.from.try_into()?),
             DatagramWire::M(members) => {
                 let members = members.members.into_iter().map(Member::try_from);
--- a/crates/galenapath-gateway/src/fleet/joining.rs
+++ b/crates/galenapath-gateway/src/fleet/joining.rs
@@ -1,7 +1,7 @@
-//! How an instance comes to know the others, and they it.
+//! Joining the fleet: how an instance and the others learn of each other.
 
 use super::message::{Datagram, encode};
-use super::tasks::send_beat;
+use super::tasks::send_heartbeat;
 use crate::instance::{Instance, sleep};
 use crate::usage::Flow;
 use galenapath_membership::{Learned, Member};
@@ -10,58 +10,60 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Time between two questions to the seeds of an instance that has just started and knows nobody: all
-/// instances of a deployment start within a third of a second, seeds as well.
-const ASK_AGAIN: Micros = Micros::from_millis(25);
+/// Time between two requests to the seeds for an instance that has just started and knows no
+/// others: all instances of a deployment start within a third of a second, including the seeds.
+const FAST_RETRY_PERIOD: Micros = Micros::from_millis(25);
 
-/// Time between two questions to the seeds after `ASK_OFTEN`.
-const ASK_SELDOM: Micros = Micros::from_secs(1);
+/// Time between two requests to the seeds after `FAST_RETRY_FOR`.
+const SLOW_RETRY_PERIOD: Micros = Micros::from_secs(1);
 
-/// Time after the start for which the seeds are asked often.
-const ASK_OFTEN: Micros = Micros::from_secs(1);
+/// Time after the start for which the seeds are contacted every `FAST_RETRY_PERIOD`.
+const FAST_RETRY_FOR: Micros = Micros::from_secs(1);
 
 /// Members in one datagram, so that it fits one packet.
 const MEMBERS_PER_DATAGRAM: usize = 12;
 
-/// Asks the seeds who is there for as long as nobody is known: often after the start, seldom later.
-/// Whoever is heard of then gets to know this instance, so that one answer is enough; what is missed
-/// shows by the digests.
+/// Requests members from the seeds for as long as no others are known: frequently after the start,
+/// then less often.
+///
+/// Every instance learned of is introduced to this one, so a single answer is enough; missing
+/// members are detected by the digests in heartbeats.
 pub(crate) async fn join(instance: Rc<Instance>) {
-    let mut tries = usize::from(rand::random::<u8>());
+    let mut attempts = usize::from(rand::random::<u8>());
     loop {
         if instance.beats.borrow().is_alone() {
-            ask_a_seed(&instance, tries);
-            tries += 1;
+            request_members_from_seed(&instance, attempts);
+            attempts += 1;
         }
-        let is_new = instance.clock.age() < ASK_OFTEN;
-        sleep(if is_new { ASK_AGAIN } else { ASK_SELDOM }).await;
+        let is_new = instance.clock.age() < FAST_RETRY_FOR;
+        sleep(if is_new { FAST_RETRY_PERIOD } else { SLOW_RETRY_PERIOD }).await;
     }
 }
 
-/// Asks one seed who is there, another one with each try, and makes this instance known to the others:
-/// answers from all of them would be the same list several times.
-fn ask_a_seed(instance: &Instance, tries: usize) {
+/// Requests members from one seed, a different one with each attempt, and introduces this instance
+/// to the other seeds. Answers from all seeds would repeat the same list.
+fn request_members_from_seed(instance: &Instance, attempts: usize) {
     let settings = instance.settings();
     let (own, seeds) = (settings.listen.peers, &settings.listen.seeds);
     let others: Vec<SocketAddr> = seeds.iter().copied().filter(|seed| *seed != own).collect();
     if others.is_empty() {
         return;
     }
-    let asked = others[tries % others.len()];
-    ask(instance, &[asked]);
-    others.iter().filter(|seed| **seed != asked).for_each(|seed| introduce(instance, *seed));
+    let target = others[attempts % others.len()];
+    request_members(instance, &[target]);
+    others.iter().filter(|seed| **seed != target).for_each(|seed| introduce(instance, *seed));
 }
 
-/// Tells who this instance is and asks who is there.
-pub(crate) fn ask(instance: &Instance, to: &[SocketAddr]) {
+/// Introduces this instance and requests the known members.
+pub(crate) fn request_members(instance: &Instance, to: &[SocketAddr]) {
     let own = instance.member();
     let datagram = encode(&Datagram::Hello(own.clone()));
     let others = to.iter().filter(|address| **address != own.peers);
     others.for_each(|address| instance.send(*address, &datagram, Flow::Members));
 }
 
-/// Takes in who is there, as another instance tells.
-pub(super) fn take_members(instance: &Instance, members: Vec<Member>, from: SocketAddr) {
+/// Applies the members received from another instance.
+pub(super) fn apply_members(instance: &Instance, members: Vec<Member>, from: SocketAddr) {
     let is_introduction = members.len() == 1;
     for member in members {
         let (address, is_home) = (member.peers, member.domain == instance.settings().domain);
@@ -71,12 +73,14 @@
             instance.beats.borrow_mut().spoke(instance.now(), incarnation);
         }
         match (learned, address == from) {
-            // A new instance learns from the answer whether the store answers here, and more; one of its own
-            // failure domain is enough for that.
-            (Learned::News, true) if is_home || !is_introduction => send_beat(instance, &[address]),
-            // It has taken this instance for gone, or has lost the first answer.
+            // The heartbeat gives a new instance the store's health and more; one from its own
+            // failure domain is enough.
+            (Learned::News, true) if is_home || !is_introduction => {
+                send_heartbeat(instance, &[address]);
+            }
+            // The sender considered this instance gone, or lost the first answer.
             (Learned::Known | Learned::Doubted, true) if is_introduction => {
-                send_beat(instance, &[address]);
+                send_heartbeat(instance, &[address]);
             }
             (Learned::News | Learned::Doubted, false) => introduce(instance, address),
             _ => {}
@@ -84,25 +88,26 @@
     }
 }
 
-/// Tells another instance, which has only been heard of, that this one is there.
+/// Introduces this instance to one that is known only from others.
 fn introduce(instance: &Instance, to: SocketAddr) {
     let datagram = encode(&Datagram::Members(vec![instance.member()]));
     instance.send(to, &datagram, Flow::Members);
 }
 
-/// Takes in who an instance is.
+/// Adds or updates a member.
 pub(super) fn learn(instance: &Instance, member: Member) -> Learned {
     let now = instance.now();
     let joined = (member.id.0.clone(), member.incarnation);
     let learned = instance.beats.borrow_mut().learn(now, member);
-    // Hundreds that start together would else write a line each on all of them.
+    // The budget keeps hundreds of instances that start together from writing a line each on all of
+    // them.
     if learned == Learned::News && instance.may_log(LineKind::Peer) {
         log::info!(peer = joined.0, incarnation:% = joined.1; "instance joined");
     }
     learned
 }
 
-/// Tells who is there.
+/// Sends the known members.
 pub(super) fn send_members(instance: &Instance, to: SocketAddr) {
     let own = instance.member();
     let mut members: Vec<Member> = {
--- a/crates/galenapath-gateway/src/fleet/message.rs
+++ b/crates/galenapath-gateway/src/fleet/message.rs
@@ -1,31 +1,31 @@
-//! Messages as the code works with them.
+//! Messages between instances as used in the code.
 
 use super::generated::DatagramWire;
 use galenapath_filings::Fingerprint;
 use galenapath_membership::{Beat, Member};
 use galenapath_protocol::{Incarnation, LoadReport, Micros};
 
-/// Version of the messages; datagrams of another version are left alone.
-const FORMAT: u8 = 2;
+/// Version of the message format; datagrams of another version are ignored.
+const FORMAT_VERSION: u8 = 2;
 
 /// A datagram between instances.
 #[derive(Clone, Debug)]
 pub(crate) enum Datagram {
     /// A heartbeat.
-    Beat(Beat),
-    /// An instance tells who it is and asks who is there.
+    Heartbeat(Beat),
+    /// An instance introduces itself and requests the known members.
     Hello(Member),
-    /// Who is there.
+    /// Members known to the sender.
     Members(Vec<Member>),
-    /// What was seen of backend servers.
+    /// Load observations and failures of backend servers.
     Loads(Loads),
-    /// What backend servers have said of themselves.
+    /// Statements of backend servers about themselves.
     Notices(Notices),
-    /// The sender ends now.
+    /// The sender is about to exit.
     End(Incarnation),
 }
 
-/// What an instance has just seen of backend servers.
+/// Updates on backend servers that the sender has just observed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Loads {
     pub(crate) loads: Vec<LoadNote>,
@@ -35,7 +35,7 @@
 }
 
 impl Loads {
-    /// Whether there is nothing to tell.
+    /// Whether there is nothing to send.
     pub(crate) fn is_empty(&self) -> bool {
         self.loads.is_empty()
             && self.failures.is_empty()
@@ -44,16 +44,16 @@
     }
 }
 
-/// What backend servers have said of themselves in their answers, beside their loads.
+/// Statements of backend servers in their answers, apart from their loads.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Notices {
     pub(crate) limits: Vec<LimitNote>,
-    /// Hashes of the identities of those that leave.
+    /// Hashes of the IDs of servers that are leaving.
     pub(crate) leaving: Vec<u64>,
 }
 
 impl Notices {
-    /// Whether there is nothing to tell.
+    /// Whether there is nothing to send.
     pub(crate) fn is_empty(&self) -> bool {
         self.limits.is_empty() && self.leaving.is_empty()
     }
@@ -64,13 +64,14 @@
 pub(crate) struct LimitNote {
     /// Hash of the server's identity.
     pub(crate) server: u64,
-    /// Requests a second that it takes from all instances together; `None` where it names no limit any more.
+    /// Requests a second that it accepts from all instances together; `None` if it no longer has a
+    /// limit.
     pub(crate) per_second: Option<f64>,
-    /// Age of its word when this was sent.
+    /// Age of the server's statement when this was sent.
     pub(crate) age: Micros,
 }
 
-/// A request that ran on a backend server when it crashed.
+/// A request that was running on a backend server when it crashed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CrashNote {
     /// Hash of the server's identity.
@@ -83,51 +84,51 @@
 pub(crate) struct LoadNote {
     /// Short form of the server's identity.
     pub(crate) server: u32,
-    /// Age when it was sent.
+    /// Age of the observation when it was sent.
     pub(crate) age: Micros,
     pub(crate) report: LoadReport,
 }
 
-/// A backend server that has turned cold, or is cold no more.
+/// A backend server that has turned cold or is no longer cold.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WarmthNote {
     /// Short form of the server's identity.
     pub(crate) server: u32,
-    /// How much longer it stays cold; zero for one that is cold no more.
+    /// Time for which it stays cold; zero if it is no longer cold.
     pub(crate) left: Micros,
 }
 
-/// Failures of one backend server.
+/// Failed requests of one backend server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FailureNote {
     /// Short form of the server's identity.
     pub(crate) server: u32,
-    /// One for a plain failure.
+    /// Sum of the weights of the failures; an ordinary failure counts one.
     pub(crate) weight: f32,
 }
 
-/// The bytes of a datagram.
+/// Encodes a datagram.
 pub(crate) fn encode(datagram: &Datagram) -> Vec<u8> {
-    let mut bytes = vec![FORMAT];
+    let mut bytes = vec![FORMAT_VERSION];
     let wire = DatagramWire::from(datagram);
     if let Err(e) = rmp_serde::encode::write(&mut bytes, &wire) {
-        log::error!(error:% = e; "a datagram cannot be encoded");
+        log::error!(error:% = e; "failed to encode a datagram");
     }
     bytes
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
 ///
-/// What is wrong with it, for the log.
+/// A description of what is wrong with it, for the log.
 pub(crate) fn decode(bytes: &[u8]) -> Result<Datagram, String> {
     match bytes.split_first() {
-        Some((&FORMAT, rest)) => {
+        Some((&FORMAT_VERSION, rest)) => {
             let wire: DatagramWire = rmp_serde::from_slice(rest).map_err(|e| e.to_string())?;
             Datagram::try_from(wire)
         }
-        Some((format, _)) => Err(format!("format {format}")),
+        Some((format, _)) => Err(format!("unknown format version {format}")),
         None => Err("empty".into()),
     }
 }
--- a/crates/galenapath-gateway/src/fleet/mod.rs
+++ b/crates/galenapath-gateway/src/fleet/mod.rs
@@ -9,9 +9,9 @@
 mod pull;
 mod tasks;
 
-pub(crate) use joining::{ask, join};
+pub(crate) use joining::{join, request_members};
 pub(crate) use message::{
     CrashNote, Datagram, FailureNote, LimitNote, LoadNote, Loads, Notices, WarmthNote, encode,
 };
 pub(crate) use pull::serve_pulls;
-pub(crate) use tasks::{announce, receive, run, tell_end};
+pub(crate) use tasks::{broadcast_end, broadcast_heartbeat, receive, run};
--- a/crates/galenapath-gateway/src/fleet/pull.rs
+++ b/crates/galenapath-gateway/src/fleet/pull.rs
@@ -1,23 +1,25 @@
-//! Taking in the state from another instance that is ahead.
+//! Fetching the state from another instance that has a newer one.
 //!
-//! Load pattern: a change that every instance of a large fleet takes in at the same moment, over
-//! links of 10 Mbit/s. If all ask the two instances that watch the store, each of them sends the same
-//! text sixty times and nobody has it in time. So an instance answers few at a time and sends the
-//! others on, and whoever has taken the state in tells those after it: the number of instances that
-//! can answer grows with each round.
+//! Load pattern: a change that every instance of a large fleet fetches at the same moment, over
+//! links of 10 Mbit/s. If all of them contacted the two instances that watch the store, each of
+//! those would send the same text sixty times and no instance would have it in time. So an instance
+//! answers few requests at a time and rejects the others, and each instance that has applied the
+//! state notifies further ones: the number of instances that can answer grows with each round.
 //!
-//! An instance asks one of its own failure domain where it can, since bytes between domains are billed: it
-//! leaves those of its domain, larger ones first, a moment to be ahead before it asks another domain's.
+//! An instance fetches from its own failure domain where it can, since traffic between domains is
+//! billed. Before it contacts an instance of another domain, it waits for a short time in which
+//! others of its own domain, larger ones first, can get ahead of it.
 //!
-//! One exchange on a connection of its own: the asking instance says what it has, the other answers
-//! with what it lacks. The list of backend servers, which is small and urgent, is asked for before the
-//! configuration. Each side sends one frame: four bytes of length, then the message, deflated where it is
-//! long: servers' entries repeat the names of services and failure domains.
+//! Each exchange uses a connection of its own: the requesting instance sends the versions that it
+//! has, and the other answers with what it lacks. The list of backend servers, which is small and
+//! urgent, is requested before the configuration. Each side sends one frame: four bytes of length,
+//! then the message, deflated if it is long, because servers' entries repeat the names of services
+//! and failure domains.
 
 use super::generated::{PullWire, StateWire};
 use super::tasks;
+use crate::compression::{self, CompressedConfig};
 use crate::instance::{Instance, sleep};
-use crate::packed::{self, Packed};
 use crate::usage::Flow;
 use galenapath_membership::{Peer, Vitals};
 use galenapath_protocol::Micros;
@@ -32,101 +34,104 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time for a whole exchange: a packed configuration of 400 routes takes 30 ms on the smallest
-/// link, and an instance with a tenth of a core some tenths of a second to take it in.
+/// Timeout of a whole exchange: a compressed configuration of 400 routes takes 30 ms on the
+/// smallest link, and an instance with a tenth of a core takes some tenths of a second to apply it.
 const TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Instances that are answered at a time.
-const MOST_ANSWERED: u32 = 6;
+/// Maximum number of configuration requests that are answered at a time.
+const MAX_ANSWERS: u32 = 6;
 
-/// Longest pause before another instance is asked after one had nothing to give.
-const LONGEST_PAUSE: Micros = Micros::from_millis(80);
+/// Maximum delay before the next request after one that brought nothing new.
+const MAX_RETRY_DELAY: Micros = Micros::from_millis(80);
 
-/// Largest frame that is read, in bytes: the largest value of the store, some thousand servers.
-const LARGEST: usize = 4 << 20;
+/// Maximum accepted frame in bytes: the largest value of the store, or some thousand servers.
+const MAX_FRAME_LEN: usize = 4 << 20;
 
-/// Longest time for which an instance of one core waits for another one of its failure domain to be
-/// ahead: about what the first of them needs to take the state in.
-const HOME_FIRST: Micros = Micros::from_millis(20);
+/// Maximum time for which an instance with one core waits for another one of its failure domain to
+/// get ahead: about what the first of them needs to fetch the state.
+const MAX_DOMAIN_WAIT: Micros = Micros::from_millis(20);
 
-/// Cores below which an instance does not wait any longer.
-const LEAST_CORES: f64 = 0.1;
+/// Number of cores below which the wait does not grow further.
+const MIN_CORES: f64 = 0.1;
 
-/// Bytes from which a message is deflated.
-const DEFLATED_FROM: usize = 2 * 1024;
+/// Messages longer than this many bytes are deflated.
+const MIN_DEFLATE_LEN: usize = 2 * 1024;
 
-/// Bit of a frame's length that says that the message is deflated.
-const DEFLATED: u32 = 1 << 31;
+/// Bit of a frame's length field that marks a deflated message.
+const DEFLATED_BIT: u32 = 1 << 31;
 
-/// Pause after a failed accept.
-const ACCEPT_PAUSE: Micros = Micros::from_millis(20);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Micros = Micros::from_millis(20);
 
 thread_local! {
-    /// Whether an exchange is under way; one at a time is enough.
-    static PULLING: Cell<bool> = const { Cell::new(false) };
-    /// Instances that are being answered.
-    static ANSWERING: Cell<u32> = const { Cell::new(0) };
+    /// Whether a pull is in progress; one at a time is enough.
+    static IS_PULLING: Cell<bool> = const { Cell::new(false) };
+    /// Number of configuration requests that are being answered.
+    static ANSWERS: Cell<u32> = const { Cell::new(0) };
 }
 
-/// What came of asking one instance.
+/// Result of a request to one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Pulled {
-    Taken,
+    Applied,
     Busy,
 }
 
-/// Takes in what other instances know beyond this one, unless that is under way.
-pub(super) fn start(instance: &Rc<Instance>, heard: SocketAddr) {
-    if PULLING.replace(true) {
+/// Fetches the state from instances that are ahead of this one, unless a pull is already in
+/// progress.
+pub(super) fn start(instance: &Rc<Instance>, notifier: SocketAddr) {
+    if IS_PULLING.replace(true) {
         return;
     }
     let instance = Rc::clone(instance);
     monoio::spawn(async move {
-        if !instance.beats.borrow().is_home(&heard) {
-            sleep(home_first(&instance)).await;
+        if !instance.beats.borrow().is_home(&notifier) {
+            sleep(domain_wait(&instance)).await;
         }
-        let mut from = another(&instance);
+        let mut from = pick_peer_ahead(&instance);
         while let Some(address) = from {
             let before = instance.vitals();
             let result = monoio::time::timeout(TIMEOUT, pull(&instance, address)).await;
             match result {
-                Ok(Ok(Pulled::Taken | Pulled::Busy)) => {}
+                Ok(Ok(Pulled::Applied | Pulled::Busy)) => {}
                 Ok(Err(e)) => {
-                    log::info!(from:% = address, error:% = e; "state not taken from instance");
+                    log::info!(from:% = address, error:% = e; "state not fetched from instance");
+                }
+                Err(_) => {
+                    log::info!(from:% = address; "state not fetched from instance: timed out");
                 }
-                Err(_) => log::info!(from:% = address; "state not taken from instance: too slow"),
             }
             if instance.vitals() == before {
-                sleep(Micros(rand::random_range(0..LONGEST_PAUSE.0))).await;
+                sleep(Micros(rand::random_range(0..MAX_RETRY_DELAY.0))).await;
             } else {
-                tasks::tell_targets(&instance);
+                tasks::notify_targets(&instance);
             }
-            from = another(&instance);
+            from = pick_peer_ahead(&instance);
         }
-        PULLING.set(false);
+        IS_PULLING.set(false);
     });
 }
 
-/// Time that an instance leaves others of its failure domain to be ahead: by chance, and longer for a
-/// small instance.
-fn home_first(instance: &Instance) -> Micros {
-    let cores = instance.settings().cores.clamp(LEAST_CORES, 1.0);
-    Micros((rand::random::<f64>() * HOME_FIRST.0 as f64 / cores) as u64)
+/// Random time to wait before contacting an instance of another failure domain, longer for a small
+/// instance.
+fn domain_wait(instance: &Instance) -> Micros {
+    let cores = instance.settings().cores.clamp(MIN_CORES, 1.0);
+    Micros((rand::random::<f64>() * MAX_DOMAIN_WAIT.0 as f64 / cores) as u64)
 }
 
-/// Some instance that is ahead of this one, of its own failure domain where there is one.
-fn another(instance: &Instance) -> Option<SocketAddr> {
+/// Picks a random instance that is ahead of this one, from its own failure domain if there is one.
+fn pick_peer_ahead(instance: &Instance) -> Option<SocketAddr> {
     let own = instance.vitals();
     let domain = &instance.settings().domain;
     let beats = instance.beats.borrow();
     let ahead = beats.peers().filter(|peer| peer.is_up() && is_ahead(&peer.vitals, &own));
-    let (home, away): (Vec<&Peer>, Vec<&Peer>) =
+    let (own_domain, others): (Vec<&Peer>, Vec<&Peer>) =
         ahead.partition(|peer| peer.member.domain == *domain);
-    let ahead = if home.is_empty() { away } else { home };
+    let ahead = if own_domain.is_empty() { others } else { own_domain };
     (!ahead.is_empty()).then(|| ahead[rand::random_range(0..ahead.len())].member.peers)
 }
 
-/// Whether an instance knows something that this one does not.
+/// Whether an instance has a newer configuration or server list than this one.
 pub(super) fn is_ahead(theirs: &Vitals, own: &Vitals) -> bool {
     theirs.config_version > own.config_version || theirs.position > own.position
 }
@@ -136,36 +141,36 @@
     let own = instance.vitals().config_version;
     let is_newer = |peer: &Peer| peer.member.peers == from && peer.vitals.config_version > own;
     let wants_config = instance.beats.borrow().peers().any(is_newer);
-    if wants_config { exchange(instance, from, true).await } else { Ok(Pulled::Taken) }
+    if wants_config { exchange(instance, from, true).await } else { Ok(Pulled::Applied) }
 }
 
 async fn exchange(instance: &Instance, from: SocketAddr, wants_config: bool) -> Result<Pulled> {
-    let question = {
+    let request = {
         let state = instance.state.borrow();
         let config_version = state.config().map_or(0, |_| state.table().version());
         PullWire { wants_config, config_version, position: state.directory().position() }
     };
     let mut io = TcpStream::connect_addr(from).await?;
-    let asked = write(&mut io, &question).await?;
-    let (state, answered): (StateWire, usize) = read(&mut io).await?;
+    let sent = write(&mut io, &request).await?;
+    let (state, received): (StateWire, usize) = read(&mut io).await?;
     let is_home = instance.beats.borrow().is_home(&from);
-    instance.usage.count(Flow::State, is_home, (asked + answered) as u64);
+    instance.usage.count(Flow::State, is_home, (sent + received) as u64);
     if state.is_busy {
         return Ok(Pulled::Busy);
     }
-    take(instance, state)?;
-    Ok(Pulled::Taken)
+    apply(instance, state)?;
+    Ok(Pulled::Applied)
 }
 
-fn take(instance: &Instance, wire: StateWire) -> Result<()> {
+fn apply(instance: &Instance, wire: StateWire) -> Result<()> {
     let withdrawn = wire.withdrawn.into_iter().map(Into::into).collect();
-    instance.take_evacuations(withdrawn, wire.position);
+    instance.apply_evacuations(withdrawn, wire.position);
     if !wire.config.is_empty() {
-        instance.take_packed(Packed(wire.config))?;
+        instance.apply_compressed_config(CompressedConfig(wire.config))?;
     }
     let puts = wire.puts.into_iter().map(ListedServer::try_from);
     let puts = puts.collect::<std::result::Result<Vec<_>, _>>().map_err(Error::other)?;
-    instance.take_changes(ServerChanges {
+    instance.apply_changes(ServerChanges {
         is_whole: wire.is_whole,
         present: wire.present,
         puts,
@@ -175,27 +180,27 @@
     Ok(())
 }
 
-/// Counts an instance that is being answered; dropping it takes it off.
-struct Answering;
+/// Holds one of the `MAX_ANSWERS` slots for answers; dropping it frees the slot.
+struct AnswerSlot;
 
-impl Answering {
-    /// `None` while enough are being answered.
+impl AnswerSlot {
+    /// Takes a slot; `None` if all are in use.
     fn begin() -> Option<Self> {
-        let count = ANSWERING.get();
-        (count < MOST_ANSWERED).then(|| {
-            ANSWERING.set(count + 1);
+        let count = ANSWERS.get();
+        (count < MAX_ANSWERS).then(|| {
+            ANSWERS.set(count + 1);
             Self
         })
     }
 }
 
-impl Drop for Answering {
+impl Drop for AnswerSlot {
     fn drop(&mut self) {
-        ANSWERING.set(ANSWERING.get() - 1);
+        ANSWERS.set(ANSWERS.get() - 1);
     }
 }
 
-/// Answers other instances on `listener` for as long as the instance runs.
+/// Answers other instances on `listener` for as long as this instance runs.
 pub(crate) async fn serve_pulls(instance: Rc<Instance>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -204,32 +209,32 @@
                 monoio::spawn(async move {
                     let result = monoio::time::timeout(TIMEOUT, answer(&instance, io)).await;
                     if let Ok(Err(e)) = result {
-                        log::debug!(from:% = from, error:% = e; "an instance was not answered");
+                        log::debug!(from:% = from, error:% = e; "failed to answer an instance");
                     }
                 });
             }
             Err(e) => {
-                log::warn!(error:% = e; "an instance was not accepted");
-                sleep(ACCEPT_PAUSE).await;
+                log::warn!(error:% = e; "failed to accept a connection from an instance");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 async fn answer(instance: &Instance, mut io: TcpStream) -> Result<()> {
-    let (question, _): (PullWire, usize) = read(&mut io).await?;
-    let place = if question.wants_config { Answering::begin() } else { None };
-    if question.wants_config && place.is_none() {
+    let (request, _): (PullWire, usize) = read(&mut io).await?;
+    let slot = if request.wants_config { AnswerSlot::begin() } else { None };
+    if request.wants_config && slot.is_none() {
         return write(&mut io, &busy()).await.map(drop);
     }
     let wire = {
         let state = instance.state.borrow();
-        let is_newer = state.table().version() > question.config_version;
-        let config = state.config().filter(|_| question.wants_config && is_newer);
-        let changes = state.changes_after(question.position, instance.now());
+        let is_newer = state.table().version() > request.config_version;
+        let config = state.config().filter(|_| request.wants_config && is_newer);
+        let changes = state.changes_after(request.position, instance.now());
         StateWire {
             is_busy: false,
-            config: config.map(|packed| packed.0.clone()).unwrap_or_default(),
+            config: config.map(|compressed| compressed.0.clone()).unwrap_or_default(),
             is_whole: changes.is_whole,
             present: changes.present,
             puts: changes.puts.into_iter().map(Into::into).collect(),
@@ -254,13 +259,13 @@
     }
 }
 
-/// Writes a frame; returns its bytes.
+/// Writes a frame; returns its size in bytes, without the length field.
 async fn write<T: Serialize>(io: &mut TcpStream, message: &T) -> Result<usize> {
     let mut body = rmp_serde::to_vec(message).map_err(Error::other)?;
     let mut is_deflated = 0;
-    if body.len() > DEFLATED_FROM {
-        body = packed::deflate(&body)?;
-        is_deflated = DEFLATED;
+    if body.len() > MIN_DEFLATE_LEN {
+        body = compression::deflate(&body)?;
+        is_deflated = DEFLATED_BIT;
     }
     let len = u32::try_from(body.len()).map_err(Error::other)? | is_deflated;
     let mut frame = len.to_be_bytes().to_vec();
@@ -268,19 +273,21 @@
     io.write_all(frame).await.0
 }
 
-/// Reads a frame and its bytes.
+/// Reads a frame; returns the message and the size of the frame in bytes.
 async fn read<T: DeserializeOwned>(io: &mut TcpStream) -> Result<(T, usize)> {
     let (result, head) = io.read_exact(vec![0; 4]).await;
     result?;
     let word = u32::from_be_bytes([head[0], head[1], head[2], head[3]]);
-    let len = (word & !DEFLATED) as usize;
-    if len > LARGEST {
-        return Err(Error::other(format!("a frame of {len} bytes")));
+    let len = (word & !DEFLATED_BIT) as usize;
+    if len > MAX_FRAME_LEN {
+        return Err(Error::other(format!(
+            "frame too large: {len} of at most {MAX_FRAME_LEN} bytes"
+        )));
     }
     let (result, mut body) = io.read_exact(vec![0; len]).await;
     result?;
-    if word & DEFLATED != 0 {
-        body = packed::inflate(&body, LARGEST)?;
+    if word & DEFLATED_BIT != 0 {
+        body = compression::inflate(&body, MAX_FRAME_LEN)?;
     }
     let message = rmp_serde::from_slice(&body).map_err(Error::other)?;
     Ok((message, head.len() + len))
--- a/crates/galenapath-gateway/src/fleet/tasks.rs
+++ b/crates/galenapath-gateway/src/fleet/tasks.rs
@@ -1,6 +1,6 @@
-//! Heartbeats, and what comes in by datagram.
+//! Sending of heartbeats and handling of received datagrams.
 
-use super::joining::{ask, learn, send_members, take_members};
+use super::joining::{apply_members, learn, request_members, send_members};
 use super::message::{Datagram, decode, encode};
 use super::pull;
 use crate::instance::{Instance, sleep, sleep_to_next};
@@ -12,31 +12,32 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Time between two looks at heartbeats that are due.
-const LOOK: Micros = Micros::from_millis(50);
+/// Interval at which heartbeats that are due are sent and silent instances detected.
+const TICK_PERIOD: Micros = Micros::from_millis(50);
 
-/// Time between two tellings of instances that were found silent, so that one lost datagram leaves
-/// nobody with a dead instance among the addresses that it tells.
-const TELL_AGAIN: Micros = Micros::from_millis(700);
+/// Time between two announcements of instances found silent. Announcements are repeated so that one
+/// lost datagram leaves no instance with a dead one among the addresses that it hands out.
+const ANNOUNCE_PERIOD: Micros = Micros::from_millis(700);
 
-/// Tellings of instances that were found silent.
-const TELLINGS: u32 = 3;
+/// Number of announcements after an instance was found silent.
+const ANNOUNCEMENTS: u32 = 3;
 
-/// Least time between two answers to an accusation.
-const ANSWER_PAUSE: Micros = Micros::from_millis(500);
+/// Minimum time between two refutations of reports that this instance is silent.
+const MIN_REFUTATION_PERIOD: Micros = Micros::from_millis(500);
 
-/// Requests a second from which a doubling or halving is told to all; below it, chance doubles them.
-const TELLING_RATE: u32 = 32;
+/// Minimum request rate at which a doubling or halving is sent at once; lower rates double by
+/// chance.
+const MIN_ANNOUNCED_RATE: u32 = 32;
 
-/// Largest datagram that is read, in bytes.
-const LARGEST: usize = 2 * 1024;
+/// Maximum datagram that is read, in bytes.
+const MAX_DATAGRAM_LEN: usize = 2 * 1024;
 
-/// Sends heartbeats and looks at who is silent, for as long as the instance runs.
+/// Sends heartbeats and detects silent instances for as long as this instance runs.
 pub(crate) async fn run(instance: Rc<Instance>) {
-    let mut told = Vitals::default();
-    let mut tellings = Tellings::default();
+    let mut last_sent = Vitals::default();
+    let mut announcements = SilenceAnnouncements::default();
     loop {
-        sleep_to_next(&instance, LOOK).await;
+        sleep_to_next(&instance, TICK_PERIOD).await;
         let now = instance.now();
         let changes = instance.beats.borrow_mut().tick(now);
         changes.iter().for_each(|change| log_belief(&instance, change));
@@ -44,27 +45,29 @@
         instance.metrics.peers.set(i64::try_from(up).unwrap_or(i64::MAX));
         instance.expire_servers();
         if changes.iter().any(|change| change.is_own) {
-            tellings.begin(now);
+            announcements.begin(now);
         }
         let vitals = instance.vitals();
-        let audience = if tellings.is_due(now) { Audience::All } else { audience(&told, &vitals) };
+        let audience =
+            if announcements.is_due(now) { Audience::All } else { audience(&last_sent, &vitals) };
         match audience {
-            Audience::All => announce(&instance),
+            Audience::All => broadcast_heartbeat(&instance),
             Audience::Serving => {
                 let to = instance.beats.borrow().home_and_serving();
-                send_beat(&instance, &to);
+                send_heartbeat(&instance, &to);
             }
             Audience::Targets => {
                 let due = instance.beats.borrow_mut().due(now, vitals.serves_callers);
-                send_beat(&instance, &due);
+                send_heartbeat(&instance, &due);
                 continue;
             }
         }
-        told = vitals;
+        last_sent = vitals;
     }
 }
 
-/// What others have found is written by them as well.
+/// Changes found by other instances are logged by those as well, so they are subject to the line
+/// budget here.
 fn log_belief(instance: &Instance, change: &Belief) {
     if !change.is_own && !instance.may_log(LineKind::Peer) {
         return;
@@ -72,53 +75,54 @@
     let silence_ms = change.silence.0 / 1_000;
     let peer = change.member.id.0.as_str();
     let (is_up, is_own) = (change.is_up, change.is_own);
-    log::info!(peer, is_up, is_own, silence_ms; "instance heard or silent");
+    log::info!(peer, is_up, is_own, silence_ms; "instance reachable or silent");
 }
 
-/// Tellings of instances that this one has found silent, or heard again.
+/// Repeated announcements of instances that this one found silent or reachable again.
 #[derive(Default)]
-struct Tellings {
-    left: u32,
+struct SilenceAnnouncements {
+    remaining: u32,
     next_at: Micros,
 }
 
-impl Tellings {
+impl SilenceAnnouncements {
     fn begin(&mut self, now: Micros) {
-        self.left = TELLINGS;
+        self.remaining = ANNOUNCEMENTS;
         self.next_at = now;
     }
 
-    /// Whether all are to be told now; counts it.
+    /// Whether an announcement to all is due now; counts it.
     fn is_due(&mut self, now: Micros) -> bool {
-        if self.left == 0 || now < self.next_at {
+        if self.remaining == 0 || now < self.next_at {
             return false;
         }
-        self.left -= 1;
-        self.next_at = now + TELL_AGAIN;
+        self.remaining -= 1;
+        self.next_at = now + ANNOUNCE_PERIOD;
         true
     }
 }
 
-/// Who gets a heartbeat now.
+/// Recipients of the next heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Audience {
-    /// All, because what they rely on has changed.
+    /// All instances, because a status that they rely on has changed.
     All,
-    /// Those who share backend servers and callers with this instance. Told to all, each change of load
-    /// would cost as many datagrams as there are instances.
+    /// Instances that share backend servers and callers with this one. Sent to all, each change of
+    /// the request rate would cost as many datagrams as there are instances.
     Serving,
-    /// Those that one is due to.
+    /// Instances whose next periodic heartbeat is due.
     Targets,
 }
 
-/// Who has to hear of a change at once.
-fn audience(told: &Vitals, now: &Vitals) -> Audience {
-    let is_for_all = told.is_ready != now.is_ready
-        || told.is_leaving != now.is_leaving
-        || told.store != now.store
-        || told.is_watching != now.is_watching
-        || told.serves_callers != now.serves_callers;
-    let is_for_serving = told.crosses != now.crosses || is_other_rate(told.rate, now.rate);
+/// Selects the recipients that need a status change at once.
+fn audience(last_sent: &Vitals, now: &Vitals) -> Audience {
+    let is_for_all = last_sent.is_ready != now.is_ready
+        || last_sent.is_leaving != now.is_leaving
+        || last_sent.store != now.store
+        || last_sent.is_watching != now.is_watching
+        || last_sent.serves_callers != now.serves_callers;
+    let is_for_serving =
+        last_sent.crosses != now.crosses || is_rate_changed(last_sent.rate, now.rate);
     match (is_for_all, is_for_serving) {
         (true, _) => Audience::All,
         (false, true) => Audience::Serving,
@@ -126,26 +130,27 @@
     }
 }
 
-/// Whether an instance serves so many more or fewer requests that others, who share questions and
-/// slots by it, have to know.
-fn is_other_rate(told: u32, now: u32) -> bool {
-    let (less, more) = (told.min(now), told.max(now));
-    more >= TELLING_RATE && more >= less.saturating_mul(2)
+/// Whether the request rate has changed so much that others, which divide queries and slots by it,
+/// need to know.
+fn is_rate_changed(last_sent: u32, now: u32) -> bool {
+    let (less, more) = (last_sent.min(now), last_sent.max(now));
+    more >= MIN_ANNOUNCED_RATE && more >= less.saturating_mul(2)
 }
 
 /// Sends a heartbeat to all other instances now.
-pub(crate) fn announce(instance: &Instance) {
+pub(crate) fn broadcast_heartbeat(instance: &Instance) {
     let all = instance.beats.borrow().all();
-    send_beat(instance, &all);
+    send_heartbeat(instance, &all);
 }
 
-/// Sends a heartbeat now to those that get one anyway, who then know where to ask.
-pub(super) fn tell_targets(instance: &Instance) {
+/// Sends a heartbeat now to the instances that receive this one's periodic heartbeats, so that they
+/// learn where newer state is available.
+pub(super) fn notify_targets(instance: &Instance) {
     let targets = instance.beats.borrow().targets();
-    send_beat(instance, &targets);
+    send_heartbeat(instance, &targets);
 }
 
-pub(super) fn send_beat(instance: &Instance, to: &[SocketAddr]) {
+pub(super) fn send_heartbeat(instance: &Instance, to: &[SocketAddr]) {
     if to.is_empty() {
         return;
     }
@@ -153,54 +158,55 @@
         let beats = instance.beats.borrow();
         (beats.accused(), beats.digest())
     };
-    let beat = Beat { from: instance.incarnation, vitals: instance.vitals(), accused, digest };
-    let datagram = encode(&Datagram::Beat(beat));
+    let heartbeat = Beat { from: instance.incarnation, vitals: instance.vitals(), accused, digest };
+    let datagram = encode(&Datagram::Heartbeat(heartbeat));
     to.iter().for_each(|address| instance.send(*address, &datagram, Flow::Heartbeat));
 }
 
-/// Tells all that the instance ends now.
-pub(crate) fn tell_end(instance: &Instance) {
+/// Notifies all other instances that this one is about to exit.
+pub(crate) fn broadcast_end(instance: &Instance) {
     let datagram = encode(&Datagram::End(instance.incarnation));
     let all = instance.beats.borrow().all();
     all.iter().for_each(|address| instance.send(*address, &datagram, Flow::Members));
 }
 
-/// Takes datagrams in, for as long as the instance runs.
+/// Receives and handles datagrams for as long as the instance runs.
 pub(crate) async fn receive(instance: Rc<Instance>, socket: UdpSocket) {
-    let mut buf = vec![0; LARGEST];
+    let mut buf = vec![0; MAX_DATAGRAM_LEN];
     loop {
         let (result, filled) = socket.recv_from(buf).await;
         buf = filled;
         match result {
-            Ok((n, from)) => take(&instance, &buf[..n], from),
+            Ok((n, from)) => handle_datagram(&instance, &buf[..n], from),
             Err(e) => {
-                log::debug!(error:% = e; "no datagram could be read");
-                sleep(LOOK).await;
+                log::debug!(error:% = e; "failed to receive a datagram");
+                sleep(TICK_PERIOD).await;
             }
         }
     }
 }
 
-fn take(instance: &Rc<Instance>, bytes: &[u8], from: SocketAddr) {
+fn handle_datagram(instance: &Rc<Instance>, bytes: &[u8], from: SocketAddr) {
     let datagram = match decode(bytes) {
         Ok(datagram) => datagram,
         Err(e) => {
-            log::debug!(from:% = from, error = e; "a datagram cannot be read");
+            log::debug!(from:% = from, error = e; "failed to decode a datagram");
             return;
         }
     };
     match datagram {
-        Datagram::Beat(beat) => take_beat(instance, &beat, from),
+        Datagram::Heartbeat(heartbeat) => handle_heartbeat(instance, &heartbeat, from),
         Datagram::Hello(member) => {
             let incarnation = member.incarnation;
             learn(instance, member);
             instance.beats.borrow_mut().spoke(instance.now(), incarnation);
             send_members(instance, from);
-            // A new instance takes the state from whom it hears to have one.
-            send_beat(instance, &[from]);
+            // A new instance fetches the state from an instance whose heartbeat shows that it has
+            // one.
+            send_heartbeat(instance, &[from]);
         }
-        Datagram::Members(members) => take_members(instance, members, from),
-        Datagram::Loads(loads) => instance.take_loads(&loads),
+        Datagram::Members(members) => apply_members(instance, members, from),
+        Datagram::Loads(loads) => instance.apply_loads(&loads),
         Datagram::Notices(notices) => instance.take_notices(&notices),
         Datagram::End(incarnation) => {
             log::info!(incarnation:% = incarnation; "instance has ended");
@@ -209,37 +215,37 @@
     }
 }
 
-fn take_beat(instance: &Rc<Instance>, beat: &Beat, from: SocketAddr) {
-    let was_ready = instance.beats.borrow().is_ready(beat.from);
-    let heard = instance.beats.borrow_mut().hear(instance.now(), beat);
-    if !was_ready && instance.beats.borrow().is_ready(beat.from) {
+fn handle_heartbeat(instance: &Rc<Instance>, heartbeat: &Beat, from: SocketAddr) {
+    let was_ready = instance.beats.borrow().is_ready(heartbeat.from);
+    let outcome = instance.beats.borrow_mut().hear(instance.now(), heartbeat);
+    if !was_ready && instance.beats.borrow().is_ready(heartbeat.from) {
         instance.tell_newcomer(from);
     }
-    if beat.vitals.store == StoreHealth::Answering {
-        instance.store_heard();
+    if heartbeat.vitals.store == StoreHealth::Answering {
+        instance.record_store_answer();
     }
-    match heard {
+    match outcome {
         Heard::Known => {}
-        Heard::Stranger => ask(instance, &[from]),
-        Heard::Accused => answer_accusation(instance),
+        Heard::Stranger => request_members(instance, &[from]),
+        Heard::Accused => refute_silence(instance),
         Heard::Differs => {
-            log::info!(from:% = from; "asks whom another instance knows");
-            ask(instance, &[from]);
+            log::info!(from:% = from; "membership differs; requesting members");
+            request_members(instance, &[from]);
         }
     }
-    if pull::is_ahead(&beat.vitals, &instance.vitals()) {
+    if pull::is_ahead(&heartbeat.vitals, &instance.vitals()) {
         pull::start(instance, from);
     }
 }
 
-/// Tells all that this instance is there, because some have not heard it.
-fn answer_accusation(instance: &Instance) {
+/// Sends a heartbeat to all instances, because some reported this one as silent.
+fn refute_silence(instance: &Instance) {
     let now = instance.now();
-    if now - instance.accused_at.get() < ANSWER_PAUSE {
+    if now - instance.refuted_at.get() < MIN_REFUTATION_PERIOD {
         return;
     }
-    instance.accused_at.set(now);
-    log::info!("another instance has not heard this one; telling all");
+    instance.refuted_at.set(now);
+    log::info!("reported as silent by another instance; sending a heartbeat to all");
     let everybody = instance.beats.borrow().everybody();
-    send_beat(instance, &everybody);
+    send_heartbeat(instance, &everybody);
 }
--- a/crates/galenapath-gateway/src/instance.rs
+++ b/crates/galenapath-gateway/src/instance.rs
@@ -1,4 +1,4 @@
-//! What all tasks of an instance share.
+//! State shared by all tasks of an instance.
 
 use crate::clock::Clock;
 use crate::dialect::{Dialect, HeaderNames};
@@ -22,21 +22,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time after its last busy second for which an instance counts as one that serves callers.
-const SERVES_FOR: Micros = Micros::from_secs(2);
+/// Time for which an instance still counts as serving callers after its request rate was last high
+/// enough.
+const SERVING_HOLD: Micros = Micros::from_secs(2);
 
-/// How far a planned stop has come.
+/// Progress of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Stage {
-    /// No stop has begun.
+    /// No stop in progress.
     Serving,
-    /// Left out of the address answers; callers with an older answer are still served.
+    /// Omitted from address answers; callers that hold an older answer are still served.
     Leaving,
-    /// Takes no new connections.
+    /// Accepts no new connections.
     Closing,
 }
 
-/// An instance. Borrows of its cells never last over an await.
+/// An instance. A borrow of one of its cells must never be held across an await.
 pub(crate) struct Instance {
     settings: RefCell<Rc<GatewaySettings>>,
     pub(crate) dialect: Box<dyn Dialect>,
@@ -48,39 +49,39 @@
     pub(crate) state: RefCell<State>,
     /// Other instances.
     pub(crate) beats: RefCell<Beats>,
-    /// Services of the configuration.
+    /// Services by name, from the configuration.
     pub(crate) services: RefCell<Services>,
     splits: RefCell<FastMap<String, SplitTurn>>,
-    /// Longest time that callers of a route have said they wait.
-    patience: RefCell<FastMap<String, Micros>>,
-    /// Requests that may crash backend servers.
+    /// Longest timeout stated by callers, by route.
+    longest_timeouts: RefCell<FastMap<String, Micros>>,
+    /// Requests suspected of crashing backend servers.
     pub(crate) suspects: RefCell<Suspects>,
-    /// Requests that have failed here, whose callers may come back.
+    /// Requests that failed on this instance and that their callers may retry.
     pub(crate) failed: RefCell<FailedRequests>,
-    /// What is to be told to other instances with the next datagram.
+    /// Updates to send to other instances with the next datagram.
     pub(crate) outbox: RefCell<Outbox>,
     pub(crate) stage: Cell<Stage>,
     pub(crate) store: Cell<StoreHealth>,
     pub(crate) is_watching: Cell<bool>,
-    /// When the store last answered this instance, or one that it hears.
-    store_heard_at: Cell<Micros>,
+    /// When the store last answered this instance, or one that sends it heartbeats.
+    store_answered_at: Cell<Micros>,
     /// Requests in progress.
     pub(crate) in_progress: Cell<u32>,
-    lines: Cell<LineBudget>,
-    /// How long questions to servers take here.
-    question_times: Cell<QuestionTimes>,
-    served_at: Cell<Micros>,
-    crossings: Cell<Crossings>,
-    /// When it last answered an accusation.
-    pub(crate) accused_at: Cell<Micros>,
-    /// Requests that callers send.
+    line_budget: Cell<LineBudget>,
+    /// Durations of load queries to servers.
+    query_times: Cell<QuestionTimes>,
+    last_serving_at: Cell<Micros>,
+    cross_domain_sends: Cell<Crossings>,
+    /// When this instance last refuted reports that it is silent.
+    pub(crate) refuted_at: Cell<Micros>,
+    /// Rate of requests from callers.
     pub(crate) rate: Cell<Rate>,
-    /// Requests that callers of each failure domain send.
+    /// Recent requests from callers, by the callers' failure domain.
     pub(crate) recent_loads: RefCell<FastMap<DomainId, RecentLoad>>,
-    /// When a caller first asked where to connect; zero before.
-    asked_at: Cell<Micros>,
-    next_ticket: Cell<u64>,
-    /// Bytes by flow.
+    /// When a caller first requested addresses to connect to; zero before that.
+    first_address_request_at: Cell<Micros>,
+    next_request: Cell<u64>,
+    /// Bytes sent and received, by flow.
     pub(crate) usage: Usage,
     udp: UdpSocket,
 }
@@ -109,57 +110,56 @@
             )),
             services: RefCell::default(),
             splits: RefCell::default(),
-            patience: RefCell::default(),
+            longest_timeouts: RefCell::default(),
             suspects: RefCell::new(Suspects::new(SuspectConfig::default())),
             failed: RefCell::default(),
             outbox: RefCell::default(),
             stage: Cell::new(Stage::Serving),
             store: Cell::default(),
             is_watching: Cell::new(false),
-            store_heard_at: Cell::new(clock.now()),
+            store_answered_at: Cell::new(clock.now()),
             in_progress: Cell::new(0),
-            lines: Cell::new(LineBudget::new(settings.log_lines)),
-            question_times: Cell::default(),
-            served_at: Cell::new(Micros::ZERO),
-            crossings: Cell::default(),
-            accused_at: Cell::new(Micros::ZERO),
+            line_budget: Cell::new(LineBudget::new(settings.log_lines)),
+            query_times: Cell::default(),
+            last_serving_at: Cell::new(Micros::ZERO),
+            cross_domain_sends: Cell::default(),
+            refuted_at: Cell::new(Micros::ZERO),
             rate: Cell::default(),
             recent_loads: RefCell::default(),
-            asked_at: Cell::default(),
-            next_ticket: Cell::new(0),
+            first_address_request_at: Cell::default(),
+            next_request: Cell::new(0),
             usage: Usage::default(),
             udp,
             settings: RefCell::new(Rc::new(settings)),
         })
     }
 
-    /// Time now.
     pub(crate) fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// The settings in force.
+    /// The current settings.
     pub(crate) fn settings(&self) -> Rc<GatewaySettings> {
         Rc::clone(&self.settings.borrow())
     }
 
-    /// Takes changed settings over.
+    /// Applies changed settings.
     pub(crate) fn set_settings(&self, settings: GatewaySettings) {
-        let mut lines = self.lines.get();
-        lines.set(settings.log_lines);
-        self.lines.set(lines);
+        let mut budget = self.line_budget.get();
+        budget.set(settings.log_lines);
+        self.line_budget.set(budget);
         *self.settings.borrow_mut() = Rc::new(settings);
         for service in self.services.borrow().values() {
             service.take_settings(self);
         }
     }
 
-    /// Whether the instance knows enough to serve and is not about to stop.
+    /// Whether the instance has the configuration and the server list, and no stop is in progress.
     pub(crate) fn is_ready(&self) -> bool {
         self.stage.get() == Stage::Serving && self.state.borrow().is_known()
     }
 
-    /// Who this instance is.
+    /// This instance as a member of the fleet.
     pub(crate) fn member(&self) -> Member {
         let settings = self.settings();
         Member {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// What this instance tells of itself.
+    /// The status that this instance reports to the others.
     pub(crate) fn vitals(&self) -> Vitals {
         let state = self.state.borrow();
         Vitals {
@@ -181,8 +181,8 @@
             is_leaving: self.stage.get() >= Stage::Leaving,
             store: self.store.get(),
             is_watching: self.is_watching.get(),
-            serves_callers: self.now() - self.served_at.get() < SERVES_FOR,
-            crosses: self.crossings.get().crosses(self.now()),
+            serves_callers: self.now() - self.last_serving_at.get() < SERVING_HOLD,
+            crosses: self.cross_domain_sends.get().crosses(self.now()),
             rate: self.rate.get().per_second(self.now()),
             capacity: self.capacity(),
             config_version: state.table().version(),
@@ -190,56 +190,58 @@
         }
     }
 
-    /// Notes a request; returns its number.
+    /// Counts a request and returns its number.
     pub(crate) fn next_ticket(&self) -> u64 {
         let now = self.now();
-        self.rate.set(self.rate.get().counted(now));
+        self.rate.set(self.rate.get().with_request(now));
         let rate = self.rate.get().per_second(now);
         if self.is_serving_rate(rate) {
-            self.served_at.set(now);
+            self.last_serving_at.set(now);
         }
-        let ticket = self.next_ticket.get();
-        self.next_ticket.set(ticket + 1);
-        ticket
+        let number = self.next_request.get();
+        self.next_request.set(number + 1);
+        number
     }
 
-    /// A request is sent to a server, one of another failure domain where `is_away`.
-    pub(crate) fn note_send(&self, is_away: bool) {
-        self.crossings.set(self.crossings.get().sent(self.now(), is_away));
+    /// Records that a request is sent to a server; `is_cross_domain` if the server is in another
+    /// failure domain.
+    pub(crate) fn note_send(&self, is_cross_domain: bool) {
+        self.cross_domain_sends
+            .set(self.cross_domain_sends.get().sent(self.now(), is_cross_domain));
     }
 
-    /// Whether a log line about a request is written; counts it where it is not.
+    /// Whether the budget allows a log line of this kind; counts the line as dropped if not.
     pub(crate) fn may_log(&self, kind: LineKind) -> bool {
-        let mut lines = self.lines.get();
-        let fits = lines.take(self.now(), kind);
-        self.lines.set(lines);
+        let mut budget = self.line_budget.get();
+        let fits = budget.take(self.now(), kind);
+        self.line_budget.set(budget);
         if !fits {
-            self.metrics.log_left_out.inc();
+            self.metrics.dropped_log_lines.inc();
         }
         fits
     }
 
-    /// Time for which a request waits for the answer to its question to a server.
+    /// Time for which a request waits for the answer to its load query.
     pub(crate) fn patience_with_questions(&self) -> Micros {
-        self.question_times.get().patience()
+        self.query_times.get().patience()
     }
 
-    /// A server has answered a question on an open connection after `took`.
+    /// Records that a server answered a load query on an open connection after `took`.
     pub(crate) fn question_took(&self, took: Micros) {
-        self.question_times.set(self.question_times.get().with(took));
+        self.query_times.set(self.query_times.get().with(took));
     }
 
-    /// The store has answered this instance, or one whose heartbeat has come.
-    pub(crate) fn store_heard(&self) {
-        self.store_heard_at.set(self.now());
+    /// Records that the store answered this instance, or one whose heartbeat has arrived.
+    pub(crate) fn record_store_answer(&self) {
+        self.store_answered_at.set(self.now());
     }
 
-    /// Brings up to date the metrics that are worked out when they are read.
+    /// Updates the gauges and counters that are computed only when metrics are read.
     pub(crate) fn refresh_ages(&self) {
         let now = self.now();
         self.usage.publish(&self.metrics);
         let seconds = |span: Micros| span.as_millis_f64() / 1_000.0;
-        self.metrics.store_age.set(seconds(now - self.store_heard_at.get()));
+        self.metrics.store_age.set(seconds(now - self.store_answered_at.get()));
         self.metrics.peer_silence.set(seconds(self.beats.borrow().longest_silence(now)));
         let services = self.services.borrow();
         let count = |of: fn(&Placement, Micros) -> usize| {
@@ -256,16 +258,16 @@
         }
     }
 
-    /// Time since the first question where to connect.
+    /// Time since the first request for addresses. The first call sets the start.
     pub(crate) fn served_for(&self) -> Micros {
         let now = self.now();
-        if self.asked_at.get() == Micros::ZERO {
-            self.asked_at.set(now);
+        if self.first_address_request_at.get() == Micros::ZERO {
+            self.first_address_request_at.set(now);
         }
-        now - self.asked_at.get()
+        now - self.first_address_request_at.get()
     }
 
-    /// The service that the next request of `route` goes to.
+    /// Selects the service for the next request of `route`.
     pub(crate) fn pick_part<'a>(&self, route: &'a Route) -> &'a str {
         if let [only] = route.parts.as_slice() {
             return &only.service;
@@ -277,63 +279,64 @@
         &route.parts[turn.next(&route.parts)].service
     }
 
-    /// When an answer to a request is no longer worth most, that arrived at `arrived` and whose caller's
-    /// first attempt is known to have come at `first_at`. A caller that says it waits for much less time
-    /// than callers of its route do has spent the rest on earlier attempts elsewhere.
+    /// Returns the time by which the answer to a request should arrive. The request arrived at
+    /// `arrived`, and the first attempt of its caller is known to have arrived at `first_at`.
+    ///
+    /// If the caller's remaining timeout is much shorter than is usual for its route, the
+    /// difference is taken as time spent on earlier attempts at other instances.
     pub(crate) fn target_at(
         &self,
         route: &Route,
         arrived: Micros,
         first_at: Micros,
-        told: Micros,
+        caller_timeout: Micros,
     ) -> Micros {
         let target = Micros::from(route.target);
         if first_at < arrived {
             return first_at + target;
         }
-        let mut patience = self.patience.borrow_mut();
-        let longest = match patience.get_mut(&route.name) {
+        let mut longest_timeouts = self.longest_timeouts.borrow_mut();
+        let longest = match longest_timeouts.get_mut(&route.name) {
             Some(longest) => longest,
-            None => patience.entry(route.name.clone()).or_insert(told),
+            None => longest_timeouts.entry(route.name.clone()).or_insert(caller_timeout),
         };
-        *longest = told.max(*longest);
-        (arrived + target) - spent(*longest, told)
+        *longest = caller_timeout.max(*longest);
+        (arrived + target) - spent(*longest, caller_timeout)
     }
 
-    /// Starts the shares of all routes anew, for a changed configuration.
-    pub(crate) fn reset_splits(&self) {
+    /// Resets the traffic splits and caller timeouts of all routes after a configuration change.
+    pub(crate) fn reset_route_state(&self) {
         self.splits.borrow_mut().clear();
-        self.patience.borrow_mut().clear();
+        self.longest_timeouts.borrow_mut().clear();
     }
 
-    /// Counts a connection opened to a backend server.
-    pub(crate) fn count_connect(&self, what_for: &str) {
-        self.metrics.connects.with_label_values(&[what_for]).inc();
+    /// Counts a connection opened to a backend server, by purpose.
+    pub(crate) fn count_connect(&self, purpose: &str) {
+        self.metrics.connects.with_label_values(&[purpose]).inc();
     }
 
-    /// Requests taken from callers so far.
+    /// Number of requests received from callers so far.
     pub(crate) fn requests(&self) -> u64 {
-        self.next_ticket.get()
+        self.next_request.get()
     }
 
-    /// Sends a datagram; a datagram that cannot be sent is lost like any other.
+    /// Sends a datagram. A send error is only logged: the protocol tolerates lost datagrams.
     pub(crate) fn send(&self, to: SocketAddr, datagram: &[u8], flow: Flow) {
         let is_home = self.beats.borrow().is_home(&to);
         self.usage.count_datagram(flow, is_home, datagram.len());
         if let Err(e) = self.udp.send_to(datagram, to) {
-            log::debug!(to:% = to, error:% = e; "a datagram was not sent");
+            log::debug!(to:% = to, error:% = e; "failed to send a datagram");
         }
     }
 }
 
-/// Sleeps until the age of the instance is a multiple of `span`. Tasks that look at something now and then
-/// wake together
-/// by it, so that an instance that serves nobody wakes seldom.
+/// Sleeps until the age of the instance is a multiple of `span`.
+///
+/// Periodic tasks thereby wake at the same time, so that an idle instance wakes rarely.
 pub(crate) async fn sleep_to_next(instance: &Instance, span: Micros) {
     sleep(span - Micros(instance.clock.age().0 % span.0)).await;
 }
 
-/// Sleeps for `span`.
 pub(crate) async fn sleep(span: Micros) {
     monoio::time::sleep(Duration::from(span)).await;
 }
--- a/crates/galenapath-gateway/src/leaving.rs
+++ b/crates/galenapath-gateway/src/leaving.rs
@@ -1,49 +1,52 @@
-//! Servers that leave, whoever said so first: the list, the server itself in an answer, or another instance.
+//! Servers that are leaving, as reported by the server list, by the server itself in an answer, or
+//! by another instance.
 //!
-//! A run of a server that has said once that it leaves takes no new requests again, whatever its entry says
-//! later: entries lag, cannot be written while the store is away, and lapse and come back.
+//! Once a process run of a server is known to be leaving, it gets no new requests, whatever its
+//! list entry says later. Entries lag behind, cannot be written while the store is unavailable, and
+//! can expire and reappear.
 
 use galenapath_membership::{LeavingMark, LeavingMarks};
 use galenapath_protocol::{BackendId, Micros};
 use std::collections::VecDeque;
 
-/// Time for which what this instance has heard from a server is told again.
-const TOLD_AGAIN_FOR: Micros = Micros::from_secs(10);
+/// Time for which this instance repeats a notice that it received directly from a server.
+const REPEAT_FOR: Micros = Micros::from_secs(10);
 
-/// The runs of servers that leave.
+/// Process runs of servers that are leaving.
 #[derive(Debug, Default)]
 pub(crate) struct Leaving {
     marks: LeavingMarks,
-    /// Those that told this instance themselves lately, oldest first.
-    heard: VecDeque<(Micros, BackendId)>,
+    /// Runs that reported to this instance directly within `REPEAT_FOR`, oldest first.
+    direct: VecDeque<(Micros, BackendId)>,
 }
 
-/// The mark of a run: its identity says which one it is.
+/// A mark for a run. The run's ID already identifies the process run, so `started` is unused.
 fn mark(run: &BackendId) -> LeavingMark {
     LeavingMark { backend: run.clone(), started: 0 }
 }
 
 impl Leaving {
-    /// Whether a run is known to leave.
+    /// Whether a run is known to be leaving.
     pub(crate) fn contains(&self, run: &BackendId) -> bool {
         self.marks.is_leaving(run, 0)
     }
 
-    /// A run leaves; returns whether it is news.
+    /// Marks a run as leaving; returns whether this was not known before.
     pub(crate) fn add(&mut self, now: Micros, run: &BackendId) -> bool {
         self.marks.mark(now, &mark(run))
     }
 
-    /// A run has told this instance itself, as news, that it leaves.
+    /// Records that a run reported directly to this instance, for the first time, that it is
+    /// leaving.
     pub(crate) fn heard(&mut self, now: Micros, run: &BackendId) {
-        self.heard.push_back((now, run.clone()));
+        self.direct.push_back((now, run.clone()));
     }
 
-    /// Those that told this instance themselves lately.
+    /// Runs whose notice is to be repeated: those that reported directly within `REPEAT_FOR`.
     pub(crate) fn told_again(&mut self, now: Micros) -> impl Iterator<Item = &BackendId> {
-        while self.heard.front().is_some_and(|(at, _)| now - *at >= TOLD_AGAIN_FOR) {
-            self.heard.pop_front();
+        while self.direct.front().is_some_and(|(at, _)| now - *at >= REPEAT_FOR) {
+            self.direct.pop_front();
         }
-        self.heard.iter().map(|(_, run)| run)
+        self.direct.iter().map(|(_, run)| run)
     }
 }
--- a/crates/galenapath-gateway/src/lib.rs
+++ b/crates/galenapath-gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! The gateway instance: gets each request of a route to a backend server that answers within the
-//! route's target.
+//! The gateway instance: routes each request to a backend server that answers within the route's
+//! latency target.
 //!
-//! One thread does everything: callers, backend servers, other instances and the platform. The
-//! decisions are made by the pure crates (`galenapath-policy`, `galenapath-routes`,
-//! `galenapath-membership`); the modules here feed them and carry out what they say.
+//! All work runs on one thread: callers, backend servers, other instances and the platform.
+//! Decisions are made by crates without I/O (`galenapath-policy`, `galenapath-routes`,
+//! `galenapath-membership`); the modules here supply their inputs and carry out the results.
 
 mod addresses;
 mod answer;
@@ -11,6 +11,7 @@
 mod call;
 mod caller;
 mod clock;
+mod compression;
 mod crash;
 mod dialect;
 mod error;
@@ -26,7 +27,6 @@
 mod loss;
 mod metrics;
 mod notices;
-mod packed;
 mod pool;
 mod probe;
 mod questions;
--- a/crates/galenapath-gateway/src/logging.rs
+++ b/crates/galenapath-gateway/src/logging.rs
@@ -1,7 +1,7 @@
-//! The log: one JSON object a line on standard output.
+//! Logging to standard output, one JSON object per line.
 //!
-//! Writing never blocks: what a slow reader does not take is kept up to a limit and then left out,
-//! and the number of lines left out is told with the next line that fits.
+//! Writing never blocks. Output that a slow reader has not read is buffered up to a limit; further
+//! lines are dropped, and the next line that fits reports how many.
 
 use crate::GatewayError;
 use error_stack::{Report, ResultExt};
@@ -14,14 +14,14 @@
 use std::sync::Mutex;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Bytes kept for a reader that does not read: some hundred lines.
-const MOST_KEPT: usize = 32 * 1024;
+/// Maximum number of buffered bytes for a stalled reader: some hundred lines.
+const MAX_PENDING_BYTES: usize = 32 * 1024;
 
-/// Sends the log to standard output from `level` up.
+/// Starts logging to standard output at `level` and above.
 ///
 /// # Errors
 ///
-/// When the process has a logger already or standard output cannot be set up.
+/// If the process already has a logger or standard output cannot be made non-blocking.
 pub fn start_logging(level: GatewayLogLevel) -> Result<(), Report<GatewayError>> {
     const WHAT: GatewayError = GatewayError::Start("the log");
     let out = std::io::stdout();
@@ -45,12 +45,12 @@
     pending: Mutex<Pending>,
 }
 
-/// Bytes that standard output has not taken yet.
+/// Bytes that standard output has not accepted yet.
 #[derive(Default)]
 struct Pending {
     bytes: Vec<u8>,
-    /// Lines left out since the last line that was kept.
-    left_out: u64,
+    /// Lines dropped since the last line that was buffered.
+    dropped: u64,
 }
 
 impl Log for JsonLines {
@@ -61,12 +61,12 @@
     fn log(&self, record: &Record<'_>) {
         let Ok(mut pending) = self.pending.lock() else { return };
         pending.flush();
-        if pending.bytes.len() > MOST_KEPT {
-            pending.left_out += 1;
+        if pending.bytes.len() > MAX_PENDING_BYTES {
+            pending.dropped += 1;
             return;
         }
-        let left_out = std::mem::take(&mut pending.left_out);
-        pending.bytes.extend_from_slice(line(record, left_out).as_bytes());
+        let dropped = std::mem::take(&mut pending.dropped);
+        pending.bytes.extend_from_slice(line(record, dropped).as_bytes());
         pending.flush();
     }
 
@@ -82,14 +82,15 @@
         while !self.bytes.is_empty() {
             match rustix::io::write(std::io::stdout(), &self.bytes) {
                 Ok(n) if n > 0 => drop(self.bytes.drain(..n)),
-                // A full pipe takes more later; a closed one has no reader to tell.
+                // A full pipe accepts more later; a closed pipe has no reader to report the error
+                // to.
                 _ => return,
             }
         }
     }
 }
 
-fn line(record: &Record<'_>, left_out: u64) -> String {
+fn line(record: &Record<'_>, dropped: u64) -> String {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let mut line = String::with_capacity(192);
     let _ = write!(
@@ -101,8 +102,8 @@
         quoted(&record.args().to_string())
     );
     let _ = record.key_values().visit(&mut Fields(&mut line));
-    if left_out > 0 {
-        let _ = write!(line, r#","lines_left_out":{left_out}"#);
+    if dropped > 0 {
+        let _ = write!(line, r#","lines_left_out":{dropped}"#);
     }
     line.push_str("}\n");
     line
@@ -112,7 +113,7 @@
     serde_json::Value::from(text).to_string()
 }
 
-/// Fields of an event as JSON members.
+/// Writes the fields of an event as JSON members.
 struct Fields<'a>(&'a mut String);
 
 impl<'kvs> VisitSource<'kvs> for Fields<'_> {
@@ -120,8 +121,8 @@
         let key = quoted(key.as_str());
         let number = value.to_f64().filter(|n| n.is_finite());
         let text = match (value.to_bool(), value.to_u64(), number) {
-            (Some(truth), _, _) => truth.to_string(),
-            (_, Some(whole), _) => whole.to_string(),
+            (Some(flag), _, _) => flag.to_string(),
+            (_, Some(integer), _) => integer.to_string(),
             (_, _, Some(number)) => number.to_string(),
             _ => quoted(&value.to_string()),
         };
--- a/crates/galenapath-gateway/src/metrics.rs
+++ b/crates/galenapath-gateway/src/metrics.rs
@@ -5,7 +5,7 @@
     Opts, Registry, TextEncoder,
 };
 
-/// Upper bounds of the latency histograms in seconds, around the targets of the routes.
+/// Upper bounds of the latency histograms in seconds, spread around typical route targets.
 const LATENCY_BUCKETS: &[f64] =
     &[0.01, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.7, 1.0, 1.5, 2.5, 5.0];
 
@@ -14,55 +14,56 @@
     registry: Registry,
     /// Answers to callers, by route kind and outcome.
     pub answers: IntCounterVec,
-    /// Time from the head of a request to its answer, by route kind and service, in seconds.
+    /// Time from the request head to the answer, by route kind and service, in seconds.
     pub latency: HistogramVec,
     /// Time that requests waited for a server, by route kind and service, in seconds.
     pub wait: HistogramVec,
-    /// Time that backend servers took, by route kind and service, in seconds.
+    /// Time that backend servers took to answer, by route kind and service, in seconds.
     pub work: HistogramVec,
-    /// Seconds since the store is known to have answered this instance or one that it hears.
+    /// Seconds since the store last answered this instance or one that sends it heartbeats.
     pub store_age: Gauge,
-    /// Longest silence of an instance that is monitored and believed to answer, in seconds.
+    /// Longest time since a heartbeat of a monitored instance that is believed to be up, in
+    /// seconds.
     pub peer_silence: Gauge,
-    /// Mean age of what is known of the servers' loads, by service, in seconds.
+    /// Mean age of the load observations of the servers, by service, in seconds.
     pub load_age: GaugeVec,
-    /// Sends to backend servers, by outcome.
+    /// Requests sent to backend servers, by outcome.
     pub sends: IntCounterVec,
-    /// Second copies sent.
+    /// Hedged requests sent.
     pub copies: IntCounter,
-    /// Connections opened to backend servers, by what for.
+    /// Connections opened to backend servers, by purpose.
     pub connects: IntCounterVec,
-    /// Bytes sent and received, by flow and by whose failure domain the other end is in.
+    /// Bytes sent and received, by flow and by whether the other end is in the own failure domain.
     pub bytes: IntCounterVec,
     /// Load probes, by result.
     pub probes: IntCounterVec,
-    /// Calls on the platform's store, by call and result.
+    /// Calls to the platform's store, by call and result.
     pub store_calls: IntCounterVec,
-    /// Entries below the servers' prefix that name no server.
+    /// Entries under the servers' key prefix that cannot be parsed as a server.
     pub unreadable_entries: IntCounter,
-    /// Log lines left out because of the budget.
-    pub log_left_out: IntCounter,
+    /// Log lines dropped because the line budget was used up.
+    pub dropped_log_lines: IntCounter,
     /// Open connections from callers.
     pub callers: IntGauge,
-    /// Requests that wait for a server.
+    /// Requests waiting for a server.
     pub waiting: IntGauge,
     /// Version of the configuration in force.
     pub config_version: IntGauge,
-    /// Position of the list of backend servers.
+    /// Store position of the list of backend servers.
     pub position: IntGauge,
     /// Backend servers listed.
     pub servers: IntGauge,
-    /// Failure domains whose backend servers get nothing.
+    /// Evacuated failure domains, whose backend servers get no requests.
     pub evacuated_domains: IntGauge,
-    /// Backend servers taken to be cold.
+    /// Backend servers assumed to be cold.
     pub cold_servers: IntGauge,
-    /// Backend servers that name a rate limit.
+    /// Backend servers that stated a rate limit.
     pub limited_servers: IntGauge,
-    /// Backend servers listed that leave.
+    /// Listed backend servers that are leaving.
     pub leaving_servers: IntGauge,
-    /// Backend servers that want nothing from this instance for now.
+    /// Backend servers that asked for no requests until a later time.
     pub paused_servers: IntGauge,
-    /// Other instances that answer.
+    /// Other instances that are up.
     pub peers: IntGauge,
 }
 
@@ -71,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// When two metrics have the same name, which is a fault in this file.
+    /// If two metrics have the same name, which is a bug in this file.
     pub(crate) fn new() -> Result<Self, prometheus::Error> {
         let r = Registry::new_custom(Some("galenapath".into()), None)?;
         Ok(Self {
@@ -93,7 +94,7 @@
                 "unreadable_entries_total",
                 "Entries that name no server",
             )?,
-            log_left_out: counter(&r, "log_left_out_total", "Log lines left out")?,
+            dropped_log_lines: counter(&r, "log_left_out_total", "Log lines left out")?,
             callers: gauge(&r, "caller_connections", "Open connections from callers")?,
             waiting: gauge(&r, "waiting", "Requests that wait for a server")?,
             config_version: gauge(&r, "config_version", "Configuration in force")?,
@@ -109,11 +110,11 @@
         })
     }
 
-    /// All metrics as text.
+    /// All metrics in the Prometheus text format.
     pub(crate) fn page(&self) -> Vec<u8> {
         let mut out = Vec::new();
         if let Err(e) = TextEncoder::new().encode(&self.registry.gather(), &mut out) {
-            log::warn!(error:% = e; "the metrics cannot be written");
+            log::warn!(error:% = e; "failed to encode the metrics");
         }
         out
     }
--- a/crates/galenapath-gateway/src/probe.rs
+++ b/crates/galenapath-gateway/src/probe.rs
@@ -1,8 +1,8 @@
 //! Load probes to backend servers.
 //!
-//! Each server is probed by one of the instances that serve callers, which tells the others. Every instance
-//! works out the same assignment from the members that it knows. When a server is due, placement says by
-//! what is known of it.
+//! Each server is probed by one of the instances that serve callers, which shares the result with
+//! the others. Every instance computes the same assignment from the members that it knows. The
+//! placement decides when a server is due for a probe, from what is known of the server.
 
 use crate::health::{self, Health};
 use crate::instance::{Instance, Stage, sleep_to_next};
@@ -16,37 +16,39 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time after the first failed probe until the next one: requests are at the server.
-const AFTER_FIRST_FAILURE: Micros = Micros::from_millis(20);
+/// Delay after the first failed probe until the next one. It is short because requests are running
+/// on the server.
+const FIRST_RETRY_DELAY: Micros = Micros::from_millis(20);
 
-/// Time after further failed probes until the next one.
-const AFTER_FAILURE: Micros = Micros::from_millis(200);
+/// Delay after each further failed probe.
+const RETRY_DELAY: Micros = Micros::from_millis(200);
 
-/// Time between two probes of a server that tells no load: they only show that it is there.
-const SILENT_PERIOD: Micros = Micros::from_secs(1);
+/// Time between two probes of a server that reports no load; these only check that it is reachable.
+const NO_REPORT_PERIOD: Micros = Micros::from_secs(1);
 
-/// Time between two looks at which probes are due.
-const LOOK: Micros = Micros::from_millis(15);
+/// Time between two checks for probes that are due.
+const CHECK_PERIOD: Micros = Micros::from_millis(15);
 
-/// Time after the start of an instance for which it probes nobody: it does not know all others yet.
-const SETTLES_WITHIN: Micros = Micros::from_secs(1);
+/// Time after its start during which an instance sends no probes, because it does not know all
+/// other instances yet.
+const STARTUP_DELAY: Micros = Micros::from_secs(1);
 
-/// Time between two looks at who probes which server.
-const REASSIGN: Micros = Micros::from_millis(250);
+/// Time between two updates of the assignment of servers to probing instances.
+const REASSIGN_PERIOD: Micros = Micros::from_millis(250);
 
-/// Longest time for a probe: the load is told at once, so that a later answer means a server that
+/// Timeout of a probe. A server reports its load at once, so a later answer means that the server
 /// is gone or frozen.
 const TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Failed probes in a row after which the server counts as out of reach.
-const FAILURES: u32 = 2;
+/// Consecutive failed probes after which a server is considered unreachable.
+const UNREACHABLE_AFTER: u32 = 2;
 
-/// What a probe keeps between two exchanges with one server.
+/// State of the probes to one server.
 struct Target {
     service: Rc<Service>,
     id: BackendId,
     address: SocketAddr,
-    /// Until when it is not probed, because a probe failed or it tells no load.
+    /// No probe is sent before this time, because a probe failed or the server reports no load.
     not_before: Micros,
     is_running: bool,
     failures: u32,
@@ -54,16 +56,16 @@
 
 type Targets = Rc<std::cell::RefCell<FastMap<BackendId, Target>>>;
 
-/// Probes the servers that fall to this instance, for as long as it runs.
+/// Probes the servers assigned to this instance for as long as it runs.
 pub(crate) async fn run(instance: Rc<Instance>) {
     let targets = Targets::default();
     let mut assigned_at = Micros::ZERO;
     loop {
-        // Most instances of a large fleet have nothing to probe.
+        // Most instances of a large fleet have no servers to probe.
         let is_idle = targets.borrow().is_empty();
-        sleep_to_next(&instance, if is_idle { REASSIGN } else { LOOK }).await;
+        sleep_to_next(&instance, if is_idle { REASSIGN_PERIOD } else { CHECK_PERIOD }).await;
         let now = instance.now();
-        if now - assigned_at >= REASSIGN {
+        if now - assigned_at >= REASSIGN_PERIOD {
             assigned_at = now;
             assign(&instance, &targets);
         }
@@ -73,7 +75,7 @@
     }
 }
 
-/// Takes over the servers that fall to this instance and leaves the others.
+/// Updates the set of servers that this instance probes.
 fn assign(instance: &Instance, targets: &Targets) {
     let (now, shares) = (instance.now(), instance.ask_shares());
     for service in instance.services.borrow().values() {
@@ -81,11 +83,12 @@
         service.share_probes(now, shares);
         service.share_retries(instance);
     }
-    let mine = if may_probe(instance) { mine(instance) } else { FastMap::default() };
+    let assigned =
+        if may_probe(instance) { assigned_servers(instance) } else { FastMap::default() };
     share_scarce(instance);
     let mut targets = targets.borrow_mut();
-    targets.retain(|id, target| mine.get(id).is_some_and(|(_, at)| *at == target.address));
-    for (id, (service, address)) in mine {
+    targets.retain(|id, target| assigned.get(id).is_some_and(|(_, at)| *at == target.address));
+    for (id, (service, address)) in assigned {
         targets.entry(id.clone()).or_insert_with(|| Target {
             service,
             id,
@@ -97,30 +100,30 @@
     }
 }
 
-/// Whether this instance is one of those that probe: it serves callers, or nobody does.
+/// Whether this instance is one of those that probe: it serves callers, or no instance does.
 fn may_probe(instance: &Instance) -> bool {
-    let is_settled = instance.clock.age() >= SETTLES_WITHIN;
-    is_settled && (instance.vitals().serves_callers || !is_anyone_serving(instance))
+    let is_past_startup = instance.clock.age() >= STARTUP_DELAY;
+    is_past_startup && (instance.vitals().serves_callers || !is_any_peer_serving(instance))
 }
 
-fn is_anyone_serving(instance: &Instance) -> bool {
+fn is_any_peer_serving(instance: &Instance) -> bool {
     let beats = instance.beats.borrow();
     beats.peers().any(|peer| peer.is_usable() && peer.vitals.serves_callers)
 }
 
-/// Takes over what falls to this instance of the servers that take few requests: which cold ones it warms, and
-/// its parts of the rate limits that servers name.
+/// Updates which cold servers this instance warms up, and its shares of the rate limits that
+/// servers stated.
 pub(crate) fn share_scarce(instance: &Instance) {
     let (now, own) = (instance.now(), instance.incarnation);
     let beats = instance.beats.borrow();
-    // An instance that is cut off takes servers over from others that it does not hear, and which send on.
-    // One that stops has left its part to others, if there are any.
+    // An isolated instance would take over servers from instances that it cannot reach but that
+    // still send to them. A stopping instance has handed its share to the others, if there are any.
     let is_replaced = instance.stage.get() >= Stage::Leaving && beats.peers().any(Peer::is_usable);
     let may_send = may_probe(instance) && !beats.is_doubtful() && !is_replaced;
-    let probing = probing(instance, &beats);
+    let probing = probing_instances(instance, &beats);
     for service in instance.services.borrow().values() {
         let domain = |id: &BackendId| service.domain(id).filter(|_| may_send);
-        let is_ours = |id: &BackendId| {
+        let is_warmed_here = |id: &BackendId| {
             domain(id).is_some_and(|domain| warmer(&probing, &domain, id) == Some(own))
         };
         let share = |id: &BackendId, per_second: f64| {
@@ -128,16 +131,16 @@
             domain(id).map_or(LimitShare::NONE, share)
         };
         let mut placement = service.placement.borrow_mut();
-        placement.share_warming(now, is_ours);
+        placement.share_warming(now, is_warmed_here);
         placement.share_limits(now, share);
     }
 }
 
-/// The instances that probe, this one included.
-fn probing<'a>(instance: &Instance, beats: &'a Beats) -> Vec<Prober<'a>> {
-    let is_anyone = instance.vitals().serves_callers || is_anyone_serving(instance);
+/// The instances that probe, including this one.
+fn probing_instances<'a>(instance: &Instance, beats: &'a Beats) -> Vec<Prober<'a>> {
+    let is_any_serving = instance.vitals().serves_callers || is_any_peer_serving(instance);
     let others = beats.peers().filter(|peer| peer.is_usable());
-    let others = others.filter(|peer| !is_anyone || peer.vitals.serves_callers);
+    let others = others.filter(|peer| !is_any_serving || peer.vitals.serves_callers);
     let mut probing: Vec<Prober<'_>> = others
         .map(|peer| Prober {
             incarnation: peer.member.incarnation,
@@ -153,20 +156,20 @@
     probing
 }
 
-/// The servers that fall to this instance, which probes.
-fn mine(instance: &Instance) -> FastMap<BackendId, (Rc<Service>, SocketAddr)> {
+/// The servers assigned to this instance, which is one of those that probe.
+fn assigned_servers(instance: &Instance) -> FastMap<BackendId, (Rc<Service>, SocketAddr)> {
     let beats = instance.beats.borrow();
-    let probing = probing(instance, &beats);
-    let mut mine = FastMap::default();
+    let probing = probing_instances(instance, &beats);
+    let mut assigned = FastMap::default();
     for service in instance.services.borrow().values() {
         service.refresh(instance);
         for server in service.servers() {
             if prober(&probing, &server.domain, &server.id) == Some(instance.incarnation) {
-                mine.insert(server.id, (Rc::clone(service), server.address));
+                assigned.insert(server.id, (Rc::clone(service), server.address));
             }
         }
     }
-    mine
+    assigned
 }
 
 fn due(targets: &Targets, now: Micros) -> Vec<BackendId> {
@@ -196,9 +199,9 @@
     else {
         return;
     };
-    let kept = service.take_connection(instance.now(), &id).await.map(|kept| kept.connection);
+    let reused = service.take_connection(instance.now(), &id).await.map(|reused| reused.connection);
     let result =
-        monoio::time::timeout(TIMEOUT, exchange(&instance, &service, &id, address, kept)).await;
+        monoio::time::timeout(TIMEOUT, exchange(&instance, &service, &id, address, reused)).await;
     let result = result.unwrap_or_else(|_| Err(HttpError::HeadTimeout));
     let label = if result.is_ok() { "answered" } else { "failed" };
     instance.metrics.probes.with_label_values(&[label]).inc();
@@ -210,23 +213,23 @@
             if let Some(connection) = health.connection {
                 service.keep_connection(instance.now(), &id, connection, health.stated_idle);
             }
-            if target.failures >= FAILURES {
+            if target.failures >= UNREACHABLE_AFTER {
                 log::info!(server:% = id; "server answers probes again");
             }
             target.failures = 0;
             if health.sighting.is_none() {
-                target.not_before = instance.now() + SILENT_PERIOD;
+                target.not_before = instance.now() + NO_REPORT_PERIOD;
             }
         }
         Err(e) => {
             target.failures += 1;
             let now = instance.now();
             let is_first = target.failures == 1;
-            target.not_before = now + if is_first { AFTER_FIRST_FAILURE } else { AFTER_FAILURE };
-            if target.failures == FAILURES {
+            target.not_before = now + if is_first { FIRST_RETRY_DELAY } else { RETRY_DELAY };
+            if target.failures == UNREACHABLE_AFTER {
                 log::info!(server:% = id, address:% = address, error:% = e; "server out of reach");
             }
-            if target.failures >= FAILURES {
+            if target.failures >= UNREACHABLE_AFTER {
                 service.lost(now, &id);
                 instance.share_failure(&service, &id, 1.0);
             }
@@ -239,9 +242,9 @@
     service: &Service,
     id: &BackendId,
     address: SocketAddr,
-    kept: Option<Connection>,
+    reused: Option<Connection>,
 ) -> Result<Health, HttpError> {
-    if let Some(connection) = kept
+    if let Some(connection) = reused
         && let Ok(health) = health::ask(instance, service, id, connection).await
     {
         return Ok(health);
--- a/crates/galenapath-gateway/src/reload.rs
+++ b/crates/galenapath-gateway/src/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the instance runs.
+//! Reloading of the settings file while the instance runs.
 
 use crate::instance::{Instance, sleep_to_next};
 use crate::stop::Signals;
@@ -6,35 +6,35 @@
 use galenapath_settings::{GatewaySettings, SettingsError};
 use std::rc::Rc;
 
-/// Reads the settings file.
+/// Reads and validates the settings file.
 pub type ReadSettings = Box<dyn Fn() -> Result<GatewaySettings, SettingsError>>;
 
-/// Time between two looks at whether a signal has come.
-const LOOK: Micros = Micros::from_millis(200);
+/// Time between two checks for a reload signal.
+const SIGNAL_CHECK_PERIOD: Micros = Micros::from_millis(200);
 
-/// Looks after which the file is read although no signal has come: it may change without one.
-const LOOKS_PER_READ: u32 = 15;
+/// Number of checks after which the file is read without a signal, since it may change without one.
+const CHECKS_PER_READ: u32 = 15;
 
-/// Follows the settings file for as long as the instance runs.
+/// Applies changes of the settings file for as long as the instance runs.
 pub(crate) async fn run(instance: Rc<Instance>, signals: Signals, read: ReadSettings) {
-    let mut looks = 0;
-    let mut was_bad = false;
+    let mut checks = 0;
+    let mut was_invalid = false;
     loop {
-        sleep_to_next(&instance, LOOK).await;
-        looks += 1;
-        let is_asked = signals.take_reload();
-        if !is_asked && looks < LOOKS_PER_READ {
+        sleep_to_next(&instance, SIGNAL_CHECK_PERIOD).await;
+        checks += 1;
+        let is_requested = signals.take_reload();
+        if !is_requested && checks < CHECKS_PER_READ {
             continue;
         }
-        looks = 0;
+        checks = 0;
         match read() {
             Ok(settings) => {
-                was_bad = false;
-                take(&instance, settings, is_asked);
+                was_invalid = false;
+                apply(&instance, settings, is_requested);
             }
-            // A file that stays bad is told of once.
-            Err(e) if is_asked || !was_bad => {
-                was_bad = true;
+            // An error that persists is logged once.
+            Err(e) if is_requested || !was_invalid => {
+                was_invalid = true;
                 log::error!(error:% = e; "settings refused; the last good ones stay in force");
             }
             Err(_) => {}
@@ -42,31 +42,31 @@
     }
 }
 
-fn take(instance: &Instance, read: GatewaySettings, is_asked: bool) {
-    let before = instance.settings();
-    if read == *before {
-        if is_asked {
+fn apply(instance: &Instance, new: GatewaySettings, is_requested: bool) {
+    let current = instance.settings();
+    if new == *current {
+        if is_requested {
             log::info!("reload: settings have not changed");
         }
         return;
     }
-    let settings = with_fixed(read.clone(), &before);
-    let needs_restart = settings != read;
+    let settings = keep_fixed_settings(new.clone(), &current);
+    let needs_restart = settings != new;
     log::info!(needs_restart; "reload: settings changed");
     instance.set_settings(settings);
 }
 
-/// The new settings, but for those that the process cannot change while it runs.
-fn with_fixed(read: GatewaySettings, before: &GatewaySettings) -> GatewaySettings {
-    let mut listen = before.listen.clone();
-    listen.seeds.clone_from(&read.listen.seeds);
+/// Returns the new settings, except for those that cannot change while the process runs.
+fn keep_fixed_settings(new: GatewaySettings, current: &GatewaySettings) -> GatewaySettings {
+    let mut listen = current.listen.clone();
+    listen.seeds.clone_from(&new.listen.seeds);
     GatewaySettings {
-        name: before.name.clone(),
-        domain: before.domain.clone(),
+        name: current.name.clone(),
+        domain: current.domain.clone(),
         listen,
-        platform: before.platform,
-        platform_timeout: before.platform_timeout,
-        log_level: before.log_level,
-        ..read
+        platform: current.platform,
+        platform_timeout: current.platform_timeout,
+        log_level: current.log_level,
+        ..new
     }
 }
--- a/crates/galenapath-gateway/src/run.rs
+++ b/crates/galenapath-gateway/src/run.rs
@@ -17,14 +17,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause after a failed accept, so that a lack of descriptors does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, so that the loop does not spin when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Pause between two looks at whether the listener for requests has to close.
-const STAGE_LOOK: Duration = Duration::from_millis(500);
+/// Interval at which the accept loop checks whether the instance is closing.
+const STAGE_CHECK_PERIOD: Duration = Duration::from_millis(500);
 
-/// Most epoll events taken at a time; the runtime's own default takes 48 KiB.
-const EVENTS: u32 = 256;
+/// Capacity of the epoll event buffer. The runtime's default takes 48 KiB.
+const EVENT_CAPACITY: u32 = 256;
 
 /// Sockets that the instance listens on.
 struct Sockets {
@@ -36,13 +36,13 @@
     metrics: Option<TcpListener>,
 }
 
-/// Runs an instance until it is told to stop and has drained. `store` is the client of the platform's
-/// key-value service; `read_settings` reads the settings
-/// again when they may have changed.
+/// Runs an instance until it is asked to stop and has drained. `store` is the client of the
+/// platform's key-value service; `read_settings` reads the settings again when they may have
+/// changed.
 ///
 /// # Errors
 ///
-/// When an address or the runtime cannot be had. Nothing has been served then.
+/// If a listen address or the runtime cannot be set up. No requests have been served by then.
 pub fn run<S: KeyStore + 'static>(
     settings: GatewaySettings,
     dialect: Box<dyn Dialect>,
@@ -55,7 +55,7 @@
     let out = sockets.datagrams.try_clone();
     let out = out.change_context(GatewayError::Start("the datagram socket"))?;
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new()
-        .with_entries(EVENTS)
+        .with_entries(EVENT_CAPACITY)
         .enable_timer()
         .build()
         .change_context(GatewayError::Start("a runtime"))?;
@@ -108,12 +108,12 @@
     Ok(())
 }
 
-/// Accepts callers until the instance closes.
+/// Accepts connections from callers until the instance closes.
 async fn accept(instance: Rc<Instance>, listener: monoio::net::TcpListener) {
     while instance.stage.get() != Stage::Closing {
         let accepting = pin!(listener.accept());
-        let look = pin!(monoio::time::sleep(STAGE_LOOK));
-        let accepted = match select(accepting, look).await {
+        let timeout = pin!(monoio::time::sleep(STAGE_CHECK_PERIOD));
+        let accepted = match select(accepting, timeout).await {
             Either::Left((accepted, _)) => accepted,
             Either::Right(_) => continue,
         };
@@ -121,10 +121,10 @@
             Ok((io, _)) if has_room(&instance) => {
                 monoio::spawn(caller::serve(Rc::clone(&instance), io));
             }
-            Ok(_) => log::warn!("a caller was turned away: too many connections"),
+            Ok(_) => log::warn!("connection from a caller rejected: too many connections"),
             Err(e) => {
-                log::warn!(error:% = e; "a caller was not accepted");
-                monoio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!(error:% = e; "failed to accept a connection from a caller");
+                monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -150,9 +150,11 @@
     })
 }
 
-/// Metrics are worth less than service: an address that is taken costs only them.
+/// Metrics are optional: if their address is in use, the instance serves without them.
 fn listen_for_metrics(address: SocketAddr) -> Option<TcpListener> {
-    bind("metrics", address).inspect_err(|e| log::warn!(error:% = e; "no metrics")).ok()
+    bind("metrics", address)
+        .inspect_err(|e| log::warn!(error:% = e; "cannot listen for metrics; serving without them"))
+        .ok()
 }
 
 fn bind(key: &'static str, address: SocketAddr) -> Result<TcpListener, Report<GatewayError>> {
--- a/crates/galenapath-gateway/src/sharing.rs
+++ b/crates/galenapath-gateway/src/sharing.rs
@@ -1,9 +1,10 @@
-//! What instances tell each other of backend servers: loads and failures, a few bytes each, in
-//! batches.
+//! Exchange of load observations and failures of backend servers between instances, a few bytes
+//! each, in batches.
 //!
-//! Only instances that serve callers hear of it; the others decide little by it, but for crashes and servers that
-//! have turned cold, which a single stray request can harm. Of servers of other
-//! failure domains they hear while they send requests there.
+//! Only instances that serve callers receive them, since the others route few requests. Crashes and
+//! servers that have turned cold are sent to all instances, because a single stray request can do
+//! harm there. An instance receives updates on servers of other failure domains only while it sends
+//! requests to those.
 
 use crate::fleet::{self, CrashNote, FailureNote, LoadNote, Loads, WarmthNote};
 use crate::instance::{Instance, sleep};
@@ -17,31 +18,32 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 
-/// Time between two datagrams: others that wait for a slot send their requests by what they know, and two
-/// that see the same slot free collide. Most periods have nothing new and cost nothing.
+/// Time between two datagrams. Other instances use these updates to decide when to send requests
+/// that wait for a slot, and two that see the same slot free collide. Most periods have no updates
+/// and cost nothing.
 const FLUSH_PERIOD: Micros = Micros::from_millis(20);
 
-/// Most notes in one datagram, so that it fits one packet.
-const MOST_NOTES: usize = 60;
+/// Maximum number of updates in one datagram, so that it fits one packet.
+const MAX_UPDATES: usize = 60;
 
-/// Notes on the servers of one failure domain.
+/// Updates on the servers of one failure domain.
 #[derive(Default)]
-struct Notes {
+struct DomainUpdates {
     loads: FastMap<BackendId, Sighting>,
     failures: FastMap<BackendId, f32>,
-    /// Servers that are cold no more.
+    /// Servers that are no longer cold.
     warm: Vec<BackendId>,
 }
 
-/// Notes that wait for the next datagram, by the failure domain of their servers.
+/// Updates waiting for the next datagram, by the failure domain of their servers.
 #[derive(Default)]
 pub(crate) struct Outbox {
-    by_domain: FastMap<DomainId, Notes>,
-    told: FastMap<BackendId, Sighting>,
+    by_domain: FastMap<DomainId, DomainUpdates>,
+    last_sent: FastMap<BackendId, Sighting>,
     crashes: Vec<CrashNote>,
-    /// Until when servers stay cold that have turned cold.
+    /// Servers that have turned cold, and until when they stay cold.
     turned_cold: FastMap<BackendId, Micros>,
-    /// Whoever waits for the first note.
+    /// The task that waits for the first update.
     waker: Option<Waker>,
 }
 
@@ -50,7 +52,7 @@
         self.by_domain.is_empty() && self.crashes.is_empty() && self.turned_cold.is_empty()
     }
 
-    /// Wakes whoever waits for the first note.
+    /// Wakes the task that waits for the first update.
     fn wake(&mut self) {
         if let Some(waker) = self.waker.take() {
             waker.wake();
@@ -58,10 +60,10 @@
     }
 
     fn add_load(&mut self, domain: DomainId, id: &BackendId, sighting: Sighting) {
-        let is_news = self.told.get(id).is_none_or(|told| sighting.is_news_after(told));
-        if is_news {
+        let is_update = self.last_sent.get(id).is_none_or(|sent| sighting.is_news_after(sent));
+        if is_update {
             self.by_domain.entry(domain).or_default().loads.insert(id.clone(), sighting);
-            self.told.insert(id.clone(), sighting);
+            self.last_sent.insert(id.clone(), sighting);
             self.wake();
         }
     }
@@ -88,9 +90,9 @@
     }
 }
 
-impl Notes {
-    /// The notes as they are sent now.
-    fn at(self, now: Micros) -> Loads {
+impl DomainUpdates {
+    /// Converts the updates to a message sent at `now`.
+    fn into_message(self, now: Micros) -> Loads {
         let load = |(id, seen): (BackendId, Sighting)| LoadNote {
             server: id.short(),
             age: now - seen.at,
@@ -108,19 +110,20 @@
 }
 
 impl Instance {
-    /// Tells the other instances what was seen of a server.
+    /// Queues a load observation of a server for the other instances.
     pub(crate) fn share_load(&self, service: &Service, id: &BackendId, sighting: Sighting) {
         let Some(domain) = service.domain(id) else { return };
         self.outbox.borrow_mut().add_load(domain, id, sighting);
     }
 
-    /// Tells the other instances that a server failed a request.
+    /// Queues a failed request on a server for the other instances.
     pub(crate) fn share_failure(&self, service: &Service, id: &BackendId, weight: f32) {
         let Some(domain) = service.domain(id) else { return };
         self.outbox.borrow_mut().add_failure(domain, id, weight);
     }
 
-    /// Tells all other instances that a server has turned cold, or those that use it that it is cold no more.
+    /// Queues an update that a server has turned cold, for all instances, or that it is no longer
+    /// cold, for those that use it.
     pub(crate) fn share_warmth(&self, service: &Service, id: &BackendId, cold_until: Micros) {
         if cold_until > self.now() {
             self.outbox.borrow_mut().add_turned_cold(id, cold_until);
@@ -129,19 +132,19 @@
         }
     }
 
-    /// Tells the other instances of a crash.
+    /// Queues a crash for the other instances.
     pub(crate) fn share_crash(&self, note: CrashNote) {
         self.outbox.borrow_mut().add_crash(note);
     }
 
-    /// Takes in what another instance saw.
-    pub(crate) fn take_loads(&self, loads: &Loads) {
+    /// Applies the updates received from another instance.
+    pub(crate) fn apply_loads(&self, loads: &Loads) {
         let now = self.now();
         loads.crashes.iter().for_each(|note| self.take_crash(note));
         let services: Vec<_> = self.services.borrow().values().cloned().collect();
         for service in services {
             if !loads.warmth.is_empty() {
-                // One that nobody uses yet may not have taken the list in.
+                // A service without requests so far may not have applied the server list yet.
                 service.refresh(self);
             }
             for note in &loads.loads {
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Ready once there is something to tell.
+    /// Ready once there is an update to send.
     fn poll_outbox(&self, cx: &Context<'_>) -> Poll<()> {
         let mut outbox = self.outbox.borrow_mut();
         if outbox.is_empty() {
@@ -186,25 +189,25 @@
                 std::mem::take(&mut outbox.turned_cold),
             )
         };
-        let readers = self.readers();
+        let recipients = self.recipients();
         let mut all = Loads::default();
         for (domain, notes) in by_domain {
-            let notes = notes.at(now);
-            let at_home = readers.iter().filter(|r| !r.hears_all && r.domain == domain);
-            self.send_loads(&notes, at_home);
+            let notes = notes.into_message(now);
+            let in_domain = recipients.iter().filter(|r| !r.is_cross_domain && r.domain == domain);
+            self.send_loads(&notes, in_domain);
             all.loads.extend(notes.loads);
             all.failures.extend(notes.failures);
             all.warmth.extend(notes.warmth);
         }
-        self.send_loads(&all, readers.iter().filter(|reader| reader.hears_all));
+        self.send_loads(&all, recipients.iter().filter(|recipient| recipient.is_cross_domain));
         let warmth =
             |(id, until): (BackendId, Micros)| WarmthNote { server: id.short(), left: until - now };
         let warmth = turned_cold.into_iter().map(warmth).collect();
         self.send_to_all(&Loads { crashes, warmth, ..Loads::default() });
     }
 
-    fn send_loads<'a>(&self, notes: &Loads, to: impl Iterator<Item = &'a Reader>) {
-        let to: Vec<SocketAddr> = to.map(|reader| reader.address).collect();
+    fn send_loads<'a>(&self, notes: &Loads, to: impl Iterator<Item = &'a Recipient>) {
+        let to: Vec<SocketAddr> = to.map(|recipient| recipient.address).collect();
         if to.is_empty() || notes.is_empty() {
             return;
         }
@@ -214,8 +217,8 @@
         }
     }
 
-    /// Callers take a request that crashes servers to any instance, and stray requests for a server that has
-    /// turned cold come to any.
+    /// Sends updates to all instances: callers may retry a request that crashes servers at any
+    /// instance, and any instance may get a stray request for a server that has turned cold.
     fn send_to_all(&self, notes: &Loads) {
         if notes.is_empty() {
             return;
@@ -227,44 +230,44 @@
         }
     }
 
-    /// The instances that hear what was seen of servers.
-    fn readers(&self) -> Vec<Reader> {
+    /// The instances that receive load observations and failures: those that serve callers.
+    fn recipients(&self) -> Vec<Recipient> {
         let beats = self.beats.borrow();
         let serving = beats.peers().filter(|p| p.is_up() && p.vitals.serves_callers);
-        let reader = |peer: &Peer| Reader {
+        let recipient = |peer: &Peer| Recipient {
             address: peer.member.peers,
             domain: peer.member.domain.clone(),
-            hears_all: peer.vitals.crosses,
+            is_cross_domain: peer.vitals.crosses,
         };
-        serving.map(reader).collect()
+        serving.map(recipient).collect()
     }
 }
 
-/// An instance that serves callers.
-struct Reader {
+/// A recipient of load observations: an instance that serves callers.
+struct Recipient {
     address: SocketAddr,
     domain: DomainId,
-    /// Whether it sends requests to servers of any failure domain, not only of its own.
-    hears_all: bool,
+    /// Whether it sends requests to servers of all failure domains, not only of its own.
+    is_cross_domain: bool,
 }
 
-/// The notes in parts that fit a datagram each.
+/// Splits the updates into parts that fit a datagram each.
 fn split(notes: &Loads) -> Vec<Loads> {
-    let parts = notes.loads.chunks(MOST_NOTES).map(<[LoadNote]>::to_vec);
+    let parts = notes.loads.chunks(MAX_UPDATES).map(<[LoadNote]>::to_vec);
     let mut parts: Vec<Loads> = parts.map(|loads| Loads { loads, ..Loads::default() }).collect();
     if parts.is_empty() {
         parts.push(Loads::default());
     }
     parts[0].failures.clone_from(&notes.failures);
     parts[0].crashes.clone_from(&notes.crashes);
-    let more = notes.warmth.chunks(MOST_NOTES);
+    let more = notes.warmth.chunks(MAX_UPDATES);
     parts.extend(more.map(|part| Loads { warmth: part.to_vec(), ..Loads::default() }));
     parts.retain(|part| !part.is_empty());
     parts
 }
 
-/// Sends what has gathered, for as long as the instance runs. Most instances of a large fleet have nothing
-/// to tell, and do not wake for it.
+/// Sends queued updates for as long as the instance runs. An instance without updates, as most are
+/// in a large fleet, does not wake.
 pub(crate) async fn run(instance: Rc<Instance>) {
     loop {
         poll_fn(|cx| instance.poll_outbox(cx)).await;
--- a/crates/galenapath-gateway/src/state.rs
+++ b/crates/galenapath-gateway/src/state.rs
@@ -1,8 +1,8 @@
-//! The configuration and the list of backend servers, as far as this instance knows them.
+//! The configuration and the list of backend servers as this instance knows them.
 
+use crate::compression::CompressedConfig;
 use crate::instance::Instance;
 use crate::leaving::Leaving;
-use crate::packed::Packed;
 use galenapath_platform::{Item, KeyEvent};
 use galenapath_policy::LineKind;
 use galenapath_protocol::{BackendId, Micros};
@@ -12,53 +12,54 @@
 };
 use std::rc::Rc;
 
-/// Time after the end of an outage of the store in which entries that lapsed meanwhile come back.
-/// The platform promises two seconds.
-const COME_BACK: Micros = Micros::from_millis(2_100);
+/// Time after an outage of the store during which entries that expired meanwhile may reappear. The
+/// platform promises that they do within two seconds.
+const REAPPEAR_TIMEOUT: Micros = Micros::from_millis(2_100);
 
-/// What an instance knows of the platform.
+/// Platform state known to an instance.
 ///
-/// Invariant: the version of `table` never falls while the process lives, and `config` holds the text that
-/// `table` was read from.
+/// Invariant: the version of `table` never decreases while the process lives, and `config` holds
+/// the text that `table` was parsed from.
 #[derive(Default)]
 pub(crate) struct State {
     table: Rc<RouteTable>,
-    /// Text of the configuration in force, packed as it is sent to other instances: the text itself, a
-    /// quarter of a megabyte for a thousand routes, is not needed any more.
-    config: Option<Packed>,
+    /// Text of the configuration in force, compressed as it is sent to other instances. The plain
+    /// text, a quarter of a megabyte for a thousand routes, is not kept.
+    config: Option<CompressedConfig>,
     directory: Directory,
-    /// Failure domains whose servers get nothing. Whoever takes in a list takes these in before it, so that
-    /// no instance serves without them.
+    /// Evacuated failure domains, whose servers get no requests. They are always applied before a
+    /// server list, so that no instance serves without knowing them.
     pub(crate) evacuations: Evacuations,
-    /// Servers that leave.
+    /// Servers that are leaving.
     pub(crate) leaving: Leaving,
-    /// Until when vanished entries are given time to come back; set when the store is back after
-    /// no instance was answered.
-    comes_back_until: Micros,
+    /// Until this time, entries that disappear are kept because they may reappear; set when the
+    /// store recovers from an outage in which it answered no instance.
+    hold_removals_until: Micros,
 }
 
 impl State {
-    /// Whether both the configuration and the list are known.
+    /// Whether both the configuration and the server list are known.
     pub(crate) fn is_known(&self) -> bool {
         self.config.is_some() && self.directory.position() > 0
     }
 
-    /// The configuration in force.
+    /// The parsed configuration in force.
     pub(crate) fn table(&self) -> &Rc<RouteTable> {
         &self.table
     }
 
-    /// The configuration in force as it is sent to other instances; `None` before the first one.
-    pub(crate) fn config(&self) -> Option<&Packed> {
+    /// The configuration in force as sent to other instances; `None` before the first one.
+    pub(crate) fn config(&self) -> Option<&CompressedConfig> {
         self.config.as_ref()
     }
 
-    /// The backend servers.
+    /// The list of backend servers.
     pub(crate) fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// What a peer at `position` lacks of the list. Servers that have said that they leave are told as such.
+    /// Changes of the list that a peer at `position` lacks. Servers known to be leaving are marked
+    /// as such.
     pub(crate) fn changes_after(&self, position: u64, now: Micros) -> ServerChanges {
         let mut changes = self.directory.changes_after(position, now);
         for put in &mut changes.puts {
@@ -69,29 +70,30 @@
         changes
     }
 
-    /// Position in the store up to which all is known. The operator's keys and the servers' entries are read
-    /// one after the other: what the operator changed between the two reads is still to come.
+    /// Position in the store up to which all changes are applied. The operator's keys and the
+    /// servers' entries are read one after the other, so changes by the operator between the two
+    /// reads may still be missing.
     pub(crate) fn position(&self) -> u64 {
         self.directory.position().min(self.evacuations.position())
     }
 
-    /// Counts up with each visible change of the servers and of what they may get.
+    /// A counter that increases with each visible change of the servers or of the evacuations.
     pub(crate) fn generation(&self) -> u64 {
         self.directory.generation() + self.evacuations.generation()
     }
 
-    /// The store is back after an outage that met every instance.
-    pub(crate) fn store_is_back(&mut self, now: Micros) {
-        self.comes_back_until = now + COME_BACK;
+    /// Records that the store has recovered from an outage that affected every instance.
+    pub(crate) fn record_store_recovery(&mut self, now: Micros) {
+        self.hold_removals_until = now + REAPPEAR_TIMEOUT;
     }
 
-    /// When an entry that vanishes now counts as gone; `None` for at once.
-    fn gone_at(&self, now: Micros) -> Option<Micros> {
-        (self.comes_back_until > now).then_some(self.comes_back_until)
+    /// When an entry that disappears now is removed; `None` for at once.
+    fn removal_time(&self, now: Micros) -> Option<Micros> {
+        (self.hold_removals_until > now).then_some(self.hold_removals_until)
     }
 }
 
-/// What led to a change, for the log.
+/// Where a change came from, for the log.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Source {
     /// The platform's store.
@@ -110,23 +112,31 @@
 }
 
 impl Instance {
-    /// Takes a configuration that the store has over if it is newer than the one in force.
-    pub(crate) fn take_config(&self, text: &[u8]) {
-        self.take_text(text, Source::Store, || Packed::pack(text));
+    /// Applies a configuration read from the store if it is newer than the one in force.
+    pub(crate) fn apply_config(&self, text: &[u8]) {
+        self.apply_config_text(text, Source::Store, || CompressedConfig::compress(text));
     }
 
-    /// Takes over a configuration that another instance has sent.
+    /// Applies a configuration received from another instance if it is newer than the one in force.
     ///
     /// # Errors
     ///
-    /// When it cannot be unpacked.
-    pub(crate) fn take_packed(&self, packed: Packed) -> std::io::Result<()> {
-        let text = packed.unpack()?;
-        self.take_text(&text, Source::Peer, || packed);
+    /// If it cannot be decompressed.
+    pub(crate) fn apply_compressed_config(
+        &self,
+        compressed: CompressedConfig,
+    ) -> std::io::Result<()> {
+        let text = compressed.decompress()?;
+        self.apply_config_text(&text, Source::Peer, || compressed);
         Ok(())
     }
 
-    fn take_text(&self, text: &[u8], source: Source, packed: impl FnOnce() -> Packed) {
+    fn apply_config_text(
+        &self,
+        text: &[u8],
+        source: Source,
+        compressed: impl FnOnce() -> CompressedConfig,
+    ) {
         let before = self.state.borrow().table.version();
         let source = source.as_str();
         let table = match self.dialect.route_table(text) {
@@ -143,46 +153,46 @@
         }
         let mut state = self.state.borrow_mut();
         state.table = Rc::new(table);
-        state.config = Some(packed());
+        state.config = Some(compressed());
         drop(state);
         self.metrics.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
         log::info!(version, before, routes, source; "configuration in force");
-        self.reset_splits();
+        self.reset_route_state();
         self.refresh_services();
     }
 
-    /// Takes in changes that a watch on the store saw, up to `position`.
-    pub(crate) fn take_events(&self, events: &[KeyEvent], position: u64) {
+    /// Applies the changes of a watch on the store, up to `position`.
+    pub(crate) fn apply_events(&self, events: &[KeyEvent], position: u64) {
         for event in events {
-            self.take_event(event);
+            self.apply_event(event);
         }
         {
             let mut state = self.state.borrow_mut();
             state.directory.reached(position);
             state.evacuations.reached(position);
         }
-        self.note_list_news(Source::Store);
+        self.log_list_changes(Source::Store);
         self.refresh_services();
     }
 
-    fn take_event(&self, event: &KeyEvent) {
+    fn apply_event(&self, event: &KeyEvent) {
         if event.key() == self.dialect.config_key() {
             if let KeyEvent::Put(item) = event {
-                self.take_config(&item.value);
+                self.apply_config(&item.value);
             }
             return;
         }
         if let Some(domain) = self.evacuated_domain(event.key()) {
-            self.take_evacuation_event(domain, event);
+            self.apply_evacuation_event(domain, event);
             return;
         }
         let Some(id) = self.server_id(event.key()) else { return };
-        let mut gone_at = self.state.borrow().gone_at(self.now());
+        let mut gone_at = self.state.borrow().removal_time(self.now());
         let (revision, change) = match event {
             KeyEvent::Put(item) => match self.dialect.server(id, &item.value) {
                 Ok(record) => (item.revision.0, Change::Put(record)),
                 Err(e) => {
-                    self.note_unreadable(id, item.revision.0, &e);
+                    self.report_unreadable_entry(id, item.revision.0, &e);
                     gone_at = None;
                     (item.revision.0, Change::Removed(BackendId(id.into())))
                 }
@@ -194,21 +204,21 @@
         self.state.borrow_mut().directory.apply(revision, change, gone_at);
     }
 
-    /// The identity in the key of a server's entry; `None` for any other key.
+    /// Returns the server ID in the key of a server's entry, or `None` for any other key.
     fn server_id<'a>(&self, key: &'a str) -> Option<&'a str> {
         key.strip_prefix(self.dialect.servers_prefix())
     }
 
-    /// An entry below the servers' prefix is not a server's own: it names no server.
-    fn note_unreadable(&self, id: &str, revision: u64, error: &str) {
+    /// Counts and logs an entry under the servers' key prefix that cannot be parsed as a server.
+    fn report_unreadable_entry(&self, id: &str, revision: u64, error: &str) {
         self.metrics.unreadable_entries.inc();
         if self.may_log(LineKind::Failure) {
             log::warn!(server = id, revision, error; "entry names no server");
         }
     }
 
-    /// Takes in the whole list as the store gave it: the entries below the servers' prefix.
-    pub(crate) fn take_list(&self, position: u64, items: &[Item]) {
+    /// Applies the whole list as read from the store: the entries under the servers' key prefix.
+    pub(crate) fn apply_list(&self, position: u64, items: &[Item]) {
         let mut list = Vec::with_capacity(items.len());
         let mut unreadable = Vec::new();
         for Item { key, value, revision } in items {
@@ -216,32 +226,32 @@
             match self.dialect.server(id, value) {
                 Ok(record) => list.push(ListedServer { revision, record, lapses_in: None }),
                 Err(e) => {
-                    self.note_unreadable(id, revision, &e);
+                    self.report_unreadable_entry(id, revision, &e);
                     unreadable.push(Removal { revision, id: BackendId(id.into()) });
                 }
             }
         }
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let gone_at = state.gone_at(now);
+        let gone_at = state.removal_time(now);
         for Removal { revision, id } in unreadable {
             state.directory.apply(revision, Change::Removed(id), None);
         }
         state.directory.take_list(position, list, gone_at);
         drop(state);
-        self.note_list_news(Source::Store);
+        self.log_list_changes(Source::Store);
         self.refresh_services();
     }
 
-    /// Takes in what another instance knows.
-    pub(crate) fn take_changes(&self, changes: ServerChanges) {
+    /// Applies the list changes received from another instance.
+    pub(crate) fn apply_changes(&self, changes: ServerChanges) {
         let now = self.now();
         self.state.borrow_mut().directory.merge(changes, now);
-        self.note_list_news(Source::Peer);
+        self.log_list_changes(Source::Peer);
         self.refresh_services();
     }
 
-    /// Drops servers whose entries did not come back.
+    /// Removes servers whose entries did not reappear in time.
     pub(crate) fn expire_servers(&self) {
         let now = self.now();
         let gone = self.state.borrow_mut().directory.expire(now);
@@ -249,39 +259,40 @@
             return;
         }
         for id in &gone {
-            log::info!(server:% = id; "server gone: its entry did not come back");
+            log::info!(server:% = id; "server gone: its entry did not reappear");
         }
         self.refresh_services();
     }
 }
 
-/// Changes of the list in one go up to which each has a line; the first list of a fleet has one for all.
-const MOST_LINES: usize = 100;
+/// Maximum number of changes in one batch that are logged one by one; a larger batch, such as the
+/// first list of a fleet, gets a single line.
+const MAX_CHANGE_LINES: usize = 100;
 
 impl Instance {
-    /// Writes a line for each change of the list of backend servers.
-    fn note_list_news(&self, source: Source) {
+    /// Logs the changes of the list of backend servers and marks servers that are leaving.
+    fn log_list_changes(&self, source: Source) {
         let now = self.now();
-        let (news, position) = {
+        let (changes, position) = {
             let mut state = self.state.borrow_mut();
-            let news = state.directory.take_news();
-            news.iter().filter_map(leaving_run).for_each(|run| {
+            let changes = state.directory.take_news();
+            changes.iter().filter_map(leaving_run).for_each(|run| {
                 state.leaving.add(now, &run);
             });
-            (news, state.position())
+            (changes, state.position())
         };
         let source = source.as_str();
-        if news.len() > MOST_LINES {
-            log::info!(changes = news.len(), position, source; "list of servers taken");
+        if changes.len() > MAX_CHANGE_LINES {
+            log::info!(changes = changes.len(), position, source; "list of servers applied");
             return;
         }
-        news.iter().for_each(|news| log_news(now, news, source));
+        changes.iter().for_each(|change| log_change(now, change, source));
     }
 }
 
-/// The run that an entry says leaves.
-fn leaving_run(news: &ListNews) -> Option<BackendId> {
-    match news {
+/// The process run that a list entry reports as leaving.
+fn leaving_run(change: &ListNews) -> Option<BackendId> {
+    match change {
         ListNews::Listed { record, .. } if record.state == ServerState::Leaving => {
             Some(record.run_id())
         }
@@ -289,8 +300,8 @@
     }
 }
 
-fn log_news(now: Micros, news: &ListNews, source: &str) {
-    match news {
+fn log_change(now: Micros, change: &ListNews, source: &str) {
+    match change {
         ListNews::Listed { revision, record } => {
             let (run, service) = (record.run_id(), &*record.service);
             let state = format!("{:?}", record.state);
--- a/crates/galenapath-gateway/src/stop.rs
+++ b/crates/galenapath-gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! Signals, and a planned stop.
+//! Signal handling and planned stops.
 
 use crate::instance::{Instance, Stage, sleep, sleep_to_next};
 use crate::{GatewayError, fleet, usage};
@@ -9,17 +9,18 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Time between two looks at whether a signal has come.
-const LOOK: Micros = Micros::from_millis(100);
+/// Interval at which signals and requests in progress are checked.
+const CHECK_PERIOD: Micros = Micros::from_millis(100);
 
-/// Time for which an instance that leaves still takes new connections: callers keep an address
-/// answer three times as long as they are told, and then need a moment to connect.
-const STILL_TAKES: Micros = Micros::from_millis(3_500);
+/// Time for which a leaving instance still accepts connections. Callers keep an address answer
+/// three times as long as it states, and then need a moment to connect.
+const ACCEPT_WHILE_LEAVING: Micros = Micros::from_millis(3_500);
 
-/// Time before the end of the grace at which the process ends whatever is still in progress.
-const RESERVE: Micros = Micros::from_millis(300);
+/// Time before the end of the grace period at which the process ends even if requests are in
+/// progress.
+const EXIT_MARGIN: Micros = Micros::from_millis(300);
 
-/// Signals that have come.
+/// Signals received by the process.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Signals {
     stop: Arc<AtomicBool>,
@@ -27,16 +28,16 @@
 }
 
 impl Signals {
-    /// Whether the signal to read the settings again has come since the last call.
+    /// Whether a reload signal has arrived since the last call.
     pub(crate) fn take_reload(&self) -> bool {
         self.reload.swap(false, Ordering::Relaxed)
     }
 
-    /// Installs the handlers.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// When a handler cannot be installed.
+    /// If a handler cannot be installed.
     pub(crate) fn install() -> Result<Self, Report<GatewayError>> {
         const WHAT: GatewayError = GatewayError::Start("signal handling");
         let signals = Self::default();
@@ -50,28 +51,28 @@
     }
 }
 
-/// Waits for the signal to stop and then for what is in progress. Returns when the process may end.
+/// Waits for a stop signal and then drains requests in progress. Returns when the process may end.
 pub(crate) async fn run(instance: &Rc<Instance>, signals: &Signals) {
     while !signals.stop.load(Ordering::Relaxed) {
-        sleep_to_next(instance, LOOK).await;
+        sleep_to_next(instance, CHECK_PERIOD).await;
     }
     let began = instance.now();
     let in_progress = instance.in_progress.get();
     log::info!(in_progress; "stop begins");
     instance.stage.set(Stage::Leaving);
-    fleet::announce(instance);
-    let most = Micros::from(instance.settings().grace) - RESERVE;
-    let takes_until = began + STILL_TAKES.min(most);
-    while instance.now() < takes_until {
-        sleep(LOOK).await;
+    fleet::broadcast_heartbeat(instance);
+    let max_duration = Micros::from(instance.settings().grace) - EXIT_MARGIN;
+    let accept_until = began + ACCEPT_WHILE_LEAVING.min(max_duration);
+    while instance.now() < accept_until {
+        sleep(CHECK_PERIOD).await;
     }
     instance.stage.set(Stage::Closing);
-    while instance.in_progress.get() > 0 && instance.now() - began < most {
-        sleep(LOOK).await;
+    while instance.in_progress.get() > 0 && instance.now() - began < max_duration {
+        sleep(CHECK_PERIOD).await;
     }
-    fleet::tell_end(instance);
+    fleet::broadcast_end(instance);
     let took_ms = (instance.now() - began).0 / 1_000;
-    let left = instance.in_progress.get();
-    usage::note(instance);
-    log::info!(took_ms, in_progress = left; "stopped");
+    let remaining = instance.in_progress.get();
+    usage::log_totals(instance);
+    log::info!(took_ms, in_progress = remaining; "stopped");
 }
--- a/crates/galenapath-gateway/src/usage.rs
+++ b/crates/galenapath-gateway/src/usage.rs
@@ -1,8 +1,8 @@
-//! What an instance sends and receives beside the callers' own bytes, by purpose.
+//! Network usage of an instance by purpose, apart from the callers' own bytes.
 //!
-//! Bytes between failure domains are billed, and what instances tell each other grows with the fleet
-//! before anybody notices. Each flow is counted by whether it leaves the own failure domain, so that one
-//! page of metrics, or the last such line of each log, says where a bill comes from.
+//! Traffic between failure domains is billed, and the traffic between instances grows with the
+//! fleet and can go unnoticed. Each flow is counted by whether it leaves the own failure domain, so
+//! that one page of metrics, or the last usage line of each log, shows the cause of a bill.
 
 use crate::instance::{Instance, sleep};
 use crate::metrics::Metrics;
@@ -10,32 +10,32 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Time between two lines of the log.
-const LINE_PERIOD: Micros = Micros::from_secs(10);
+/// Time between two log lines.
+const LOG_PERIOD: Micros = Micros::from_secs(10);
 
-/// What connections to backend servers are opened for.
+/// Purposes of connections to backend servers.
 const CONNECTS: [&str; 3] = ["request", "question", "probe"];
 
-/// Calls on the store.
+/// Calls to the store.
 const STORE_CALLS: [&str; 5] = ["get", "range", "watch", "ping", "put"];
 
-/// Bytes of the headers of a datagram over IPv4.
+/// Size of the headers of a datagram over IPv4.
 const DATAGRAM_HEADERS: usize = 28;
 
-/// What bytes are sent for.
+/// Purpose of traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Flow {
     /// Heartbeats.
     Heartbeat,
-    /// Who is there.
+    /// Membership of the fleet.
     Members,
-    /// What was seen of backend servers.
+    /// Load observations and failures of backend servers.
     Loads,
     /// The configuration and the list of backend servers, between instances.
     State,
-    /// Questions to backend servers for their load.
+    /// Load queries to backend servers.
     Question,
-    /// Requests and answers.
+    /// Requests to backend servers and their answers.
     Request,
 }
 
@@ -55,31 +55,31 @@
     }
 }
 
-/// Bytes by flow, inside the own failure domain and beyond it.
+/// Bytes by flow, inside the own failure domain and to or from others.
 #[derive(Default)]
 pub(crate) struct Usage {
-    home: [Cell<u64>; Flow::ALL.len()],
-    away: [Cell<u64>; Flow::ALL.len()],
+    own_domain: [Cell<u64>; Flow::ALL.len()],
+    other_domains: [Cell<u64>; Flow::ALL.len()],
 }
 
 impl Usage {
     /// Counts `bytes` of `flow`.
-    pub(crate) fn count(&self, flow: Flow, is_home: bool, bytes: u64) {
-        let side = if is_home { &self.home } else { &self.away };
+    pub(crate) fn count(&self, flow: Flow, is_own_domain: bool, bytes: u64) {
+        let side = if is_own_domain { &self.own_domain } else { &self.other_domains };
         let cell = &side[flow as usize];
         cell.set(cell.get() + bytes);
     }
 
     /// Counts a datagram with `len` bytes of content.
-    pub(crate) fn count_datagram(&self, flow: Flow, is_home: bool, len: usize) {
-        self.count(flow, is_home, (len + DATAGRAM_HEADERS) as u64);
+    pub(crate) fn count_datagram(&self, flow: Flow, is_own_domain: bool, len: usize) {
+        self.count(flow, is_own_domain, (len + DATAGRAM_HEADERS) as u64);
     }
 
-    /// Brings the metrics up to date.
+    /// Updates the metrics.
     pub(crate) fn publish(&self, metrics: &Metrics) {
         for flow in Flow::ALL {
-            for (place, side) in [("own", &self.home), ("other", &self.away)] {
-                let metric = metrics.bytes.with_label_values(&[flow.as_str(), place]);
+            for (domain, side) in [("own", &self.own_domain), ("other", &self.other_domains)] {
+                let metric = metrics.bytes.with_label_values(&[flow.as_str(), domain]);
                 metric.inc_by(side[flow as usize].get() - metric.get());
             }
         }
@@ -87,28 +87,29 @@
 
     fn line(&self) -> String {
         let of = |flow: Flow| {
-            let (home, away) = (self.home[flow as usize].get(), self.away[flow as usize].get());
-            format!("{}:{home}:{away}", flow.as_str())
+            let (own_domain, other_domains) =
+                (self.own_domain[flow as usize].get(), self.other_domains[flow as usize].get());
+            format!("{}:{own_domain}:{other_domains}", flow.as_str())
         };
         Flow::ALL.map(of).join(" ")
     }
 }
 
-/// Writes what was sent and received into the log, for as long as the instance runs.
+/// Logs the totals periodically for as long as the instance runs.
 pub(crate) async fn run(instance: Rc<Instance>) {
     loop {
-        sleep(LINE_PERIOD).await;
-        note(&instance);
+        sleep(LOG_PERIOD).await;
+        log_totals(&instance);
     }
 }
 
-/// Writes one line: for each flow its bytes inside the own failure domain and beyond it, connections opened
-/// to backend servers by what for, and calls on the store.
-pub(crate) fn note(instance: &Instance) {
+/// Logs the totals in one line: for each flow the bytes inside the own failure domain and to or
+/// from others, connections opened to backend servers by purpose, and calls to the store.
+pub(crate) fn log_totals(instance: &Instance) {
     let bytes = instance.usage.line();
     let metrics = &instance.metrics;
     let connects =
-        counts(&CONNECTS, |what_for| metrics.connects.with_label_values(&[what_for]).get());
+        counts(&CONNECTS, |purpose| metrics.connects.with_label_values(&[purpose]).get());
     let store_calls = counts(&STORE_CALLS, |call| {
         let of = |result| metrics.store_calls.with_label_values(&[call, result]).get();
         of("answered") + of("failed")
--- a/crates/galenapath-gateway/src/watch.rs
+++ b/crates/galenapath-gateway/src/watch.rs
@@ -1,4 +1,4 @@
-//! The platform's store: the first read, the watch and the way back after an outage.
+//! Access to the platform's store: the first read, the watch and the recovery after an outage.
 
 use crate::fleet;
 use crate::instance::{Instance, sleep, sleep_to_next};
@@ -11,67 +11,74 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest wait of one watch. A connection may fall silent for good, and a watch may hear nothing while
-/// changes are made and be told only at its end that the history is gone: a change is then in force after
-/// this and a read.
+/// Maximum duration of one watch call. A connection may stop delivering, and a watch may receive no
+/// events while changes are made and learn only at its end that the history is gone. Such a change
+/// takes effect after this time and one read.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
 
-/// Time between two pings beside a watch, which show at a tenth of a call's price that the store
-/// still answers this instance.
+/// Time between two pings during a watch, which check at a tenth of a normal call's cost that the
+/// store still answers this instance.
 const PING_PERIOD: Micros = Micros::from_millis(400);
 
-/// Pause of an instance that does not watch between two looks at its role.
-const REST: Micros = Micros::from_millis(200);
+/// Interval at which an instance that does not watch checks its role.
+const ROLE_CHECK_PERIOD: Micros = Micros::from_millis(200);
 
-/// Pause between two tries while the store answers nobody.
-const RETRY: Micros = Micros::from_millis(400);
+/// Delay between two attempts while the store answers no instance.
+const RETRY_DELAY: Micros = Micros::from_millis(400);
 
-/// Time over which instances of one core that start together would spread their first reads; smaller
-/// ones take the longer, by the square of their cores. A read takes some milliseconds of a core, and those
-/// that are done tell the others, who then need none. A spread that is linear in the cores lets most small
-/// instances read before a larger one can tell them.
+/// Time over which instances with one core spread their first reads when they start together. For
+/// smaller instances it is longer, inversely proportional to the square of their cores.
+///
+/// A read takes some milliseconds of a core, and instances that have finished notify the others,
+/// which then need no read. With a spread that is linear in the cores, most small instances would
+/// read before a larger one can notify them.
 const FIRST_READ_SPREAD: Micros = Micros::from_millis(3);
 
-/// Cores below which an instance does not put its first read off any longer.
-const LEAST_CORES: f64 = 0.1;
+/// Number of cores below which the delay of the first read does not grow further.
+const MIN_CORES: f64 = 0.1;
 
-/// Time after the start in which an instance listens for others before it takes a role: all start
+/// Time after the start for which an instance listens for others before it takes a role: all start
 /// within a third of a second.
-const LISTEN_FIRST: Micros = Micros::from_millis(450);
+const STARTUP_LISTEN_TIME: Micros = Micros::from_millis(450);
 
-/// Time after which an instance that the store did not answer may be asked to watch again.
-const FORGIVE: Micros = Micros::from_secs(5);
+/// Time after a failed call after which an instance may be selected as watcher again.
+const FAILURE_EXPIRY: Micros = Micros::from_secs(5);
 
-/// Pause between two watches, so that changes in quick succession come with one call: a tenth of the
-/// time in which a change has to be in force.
-const GATHER: Micros = Micros::from_millis(200);
+/// Delay between two watches, so that changes in quick succession arrive in one call: a tenth of
+/// the time within which a change has to take effect.
+const BATCH_DELAY: Micros = Micros::from_millis(200);
 
-/// Start of the keys under which watching instances leave their addresses, for those that start
-/// while all seeds are gone.
-const INSTANCES: &str = "galenapath/instances/";
+/// Prefix of the keys under which watching instances store their addresses, for instances that
+/// start while all seeds are gone.
+const INSTANCES_PREFIX: &str = "galenapath/instances/";
 
-/// Key that is read to see whether the store answers; it need not exist.
+/// Key that is read to check whether the store answers; it need not exist.
 const PING_KEY: &str = "galenapath/ping";
 
-/// Follows the store in the role that falls to this instance, for as long as it runs.
+/// Follows the store in the role assigned to this instance, for as long as it runs.
 pub(crate) async fn run<S: KeyStore>(instance: Rc<Instance>, store: S) {
-    let mut watcher =
-        Watcher { instance, store, failed_at: Micros::ZERO, is_entered: false, stale_at: None };
-    // Reading at once buys half a second of service after a loss of all: nobody has to wait until it
-    // is clear who watches for whom. The first to read tell the others, so that in a large fleet few
-    // read.
-    let cores = watcher.instance.settings().cores.clamp(LEAST_CORES, 1.0);
+    let mut watcher = Watcher {
+        instance,
+        store,
+        failed_at: Micros::ZERO,
+        is_registered: false,
+        stale_position: None,
+    };
+    // Reading at once saves half a second when all instances have been lost: none has to wait until
+    // the watchers are decided. The first to read notify the others, so that only few read in a
+    // large fleet.
+    let cores = watcher.instance.settings().cores.clamp(MIN_CORES, 1.0);
     let spread = FIRST_READ_SPREAD.0 as f64 / (cores * cores);
     sleep(Micros((rand::random::<f64>() * spread) as u64)).await;
     if watcher.reads_first() {
         watcher.load(Freshness::MayBeStale).await;
     }
-    sleep(LISTEN_FIRST).await;
+    sleep(STARTUP_LISTEN_TIME).await;
     loop {
         match watcher.role() {
             WatchRole::Watch => watcher.watch().await,
             WatchRole::Retry => watcher.retry().await,
-            WatchRole::Rest => watcher.rest().await,
+            WatchRole::Rest => watcher.stand_by().await,
         }
     }
 }
@@ -80,16 +87,17 @@
     instance: Rc<Instance>,
     store: S,
     failed_at: Micros,
-    /// Whether this instance's address stands in the store.
-    is_entered: bool,
-    /// Position of a list that may have been read stale.
+    /// Whether this instance's address is registered in the store.
+    is_registered: bool,
+    /// Position of a list whose read may have been stale.
     ///
-    /// Invariant: no later than the newest change in that list, so that peers that know more are ahead.
-    stale_at: Option<u64>,
+    /// Invariant: no later than the newest change in that list, so that peers with later changes
+    /// are ahead.
+    stale_position: Option<u64>,
 }
 
 impl<S: KeyStore> Watcher<S> {
-    /// Whether the instance reads the store for itself at its start.
+    /// Whether the instance reads the store itself at its start.
     fn reads_first(&self) -> bool {
         let instance = &self.instance;
         let is_known = instance.state.borrow().is_known();
@@ -104,38 +112,39 @@
         watch_role(instance.incarnation, &instance.settings().domain, &vitals, beats.peers())
     }
 
-    async fn rest(&mut self) {
+    async fn stand_by(&mut self) {
         let instance = &self.instance;
         if instance.is_watching.replace(false) {
-            log::info!("leaves the watch to others");
+            log::info!("no longer watching the store");
         }
         let since_failure = instance.now() - self.failed_at;
-        if instance.store.get() == StoreHealth::Failing && since_failure > FORGIVE {
+        if instance.store.get() == StoreHealth::Failing && since_failure > FAILURE_EXPIRY {
             instance.store.set(StoreHealth::Untried);
         }
-        sleep_to_next(instance, REST).await;
+        sleep_to_next(instance, ROLE_CHECK_PERIOD).await;
     }
 
-    /// Tries whether the store answers again.
+    /// Checks whether the store answers again.
     async fn retry(&mut self) {
         self.instance.is_watching.set(false);
-        sleep(RETRY).await;
+        sleep(RETRY_DELAY).await;
         if self.role() == WatchRole::Retry {
             let result = self.store.get(PING_KEY, Freshness::MayBeStale).await;
-            self.count("ping", &result);
+            self.record_result("ping", &result);
         }
     }
 
     async fn watch(&mut self) {
         if !self.instance.is_watching.replace(true) {
-            log::info!("watches the store");
+            log::info!("watching the store");
         }
         let position = self.instance.state.borrow().position();
-        // What was read stale does not say from where on to watch, as long as no peer has added to it.
-        if !self.instance.state.borrow().is_known() || self.stale_at == Some(position) {
+        // A stale read does not give the position to start a watch from, unless a peer has supplied
+        // later changes since.
+        if !self.instance.state.borrow().is_known() || self.stale_position == Some(position) {
             self.load(Freshness::Current).await;
             if !self.instance.state.borrow().is_known() {
-                sleep(RETRY).await;
+                sleep(RETRY_DELAY).await;
             }
             return;
         }
@@ -147,27 +156,27 @@
                 Either::Right((e, _)) => Err(e),
             }
         };
-        self.count("watch", &watched);
+        self.record_result("watch", &watched);
         match watched {
             Ok(Watched::Events { events, position }) => {
                 let before = self.instance.vitals();
-                self.instance.take_events(&events, position.0);
+                self.instance.apply_events(&events, position.0);
                 let after = self.instance.vitals();
                 if before != after && !events.is_empty() {
-                    fleet::announce(&self.instance);
+                    fleet::broadcast_heartbeat(&self.instance);
                 }
-                self.enter().await;
-                sleep(GATHER).await;
+                self.register().await;
+                sleep(BATCH_DELAY).await;
             }
             Ok(Watched::HistoryGone) => {
-                log::warn!(position; "the store has dropped its history; reading anew");
+                log::warn!(position; "the store discarded its history; reading all keys again");
                 self.load(Freshness::Current).await;
             }
             Err(_) => {}
         }
     }
 
-    /// Resolves with the error of the first ping that the store does not answer.
+    /// Pings until one fails; returns its error.
     async fn ping_until_failure(&self) -> PlatformError {
         loop {
             sleep(PING_PERIOD).await;
@@ -179,32 +188,36 @@
         }
     }
 
-    /// Reads the configuration, the evacuations and the list.
+    /// Reads the configuration, the evacuations and the server list.
     ///
-    /// The first read of an instance may be stale, at a tenth of the price: all start at the same moment,
-    /// and those that watch then read what is current and tell the others, half a second later.
+    /// The first read of an instance may be stale, which costs a tenth of a current read: all
+    /// instances start at the same moment, and the watchers read the current state half a second
+    /// later and notify the others.
     async fn load(&mut self, freshness: Freshness) {
         let operator = self.instance.dialect.operator_prefix();
         let Some((position, items)) = self.read_all(operator, freshness).await else { return };
-        self.instance.take_operator_items(position, &items);
+        self.instance.apply_operator_items(position, &items);
         let servers = self.instance.dialect.servers_prefix();
         let Some((position, items)) = self.read_all(servers, freshness).await else { return };
-        self.instance.take_list(position, &items);
+        self.instance.apply_list(position, &items);
         let is_stale = freshness == Freshness::MayBeStale;
-        self.stale_at = is_stale.then(|| self.instance.state.borrow().position());
-        fleet::announce(&self.instance);
+        self.stale_position = is_stale.then(|| self.instance.state.borrow().position());
+        fleet::broadcast_heartbeat(&self.instance);
     }
 
-    /// Reads all pages of the items below `prefix`, and the position that they are known at. That is the
-    /// position of the first page: what changes while the others are read comes with the watch. What was
-    /// read stale is known at the newest change in it, and may be older than that of the store.
+    /// Reads all pages of the items under `prefix` and returns them with the position that they are
+    /// valid at.
+    ///
+    /// For a current read, that is the position of the first page: changes made while the others
+    /// are read arrive with the watch. For a stale read, it is the newest change among the items,
+    /// which may be older than the store's position.
     async fn read_all(&mut self, prefix: &str, freshness: Freshness) -> Option<(u64, Vec<Item>)> {
         let mut items = Vec::new();
         let mut position = None;
         let mut after: Option<String> = None;
         loop {
             let page = self.store.range(prefix, after.as_deref(), freshness).await;
-            self.count("range", &page);
+            self.record_result("range", &page);
             let page = page.ok()?;
             position.get_or_insert(page.position.0);
             after = page.items.last().map(|item| item.key.clone());
@@ -220,37 +233,38 @@
         }
     }
 
-    /// Leaves this instance's address in the store, once, and looks for others there.
-    async fn enter(&mut self) {
-        if self.is_entered {
+    /// Registers this instance's address in the store once, and contacts the instances registered
+    /// there.
+    async fn register(&mut self) {
+        if self.is_registered {
             return;
         }
-        self.is_entered = true;
+        self.is_registered = true;
         let own = self.instance.settings().listen.peers;
-        let key = format!("{INSTANCES}{own}");
+        let key = format!("{INSTANCES_PREFIX}{own}");
         let put = self.store.put(&key, Bytes::from_static(b"1")).await;
-        self.count("put", &put);
-        self.is_entered = put.is_ok();
-        let page = self.store.range(INSTANCES, None, Freshness::Current).await;
-        self.count("range", &page);
+        self.record_result("put", &put);
+        self.is_registered = put.is_ok();
+        let page = self.store.range(INSTANCES_PREFIX, None, Freshness::Current).await;
+        self.record_result("range", &page);
         let Ok(page) = page else { return };
-        let keys = page.items.iter().filter_map(|item| item.key.strip_prefix(INSTANCES));
+        let keys = page.items.iter().filter_map(|item| item.key.strip_prefix(INSTANCES_PREFIX));
         let addresses: Vec<_> = keys.filter_map(|text| text.parse().ok()).collect();
-        fleet::ask(&self.instance, &addresses);
+        fleet::request_members(&self.instance, &addresses);
     }
 
-    /// Takes note of whether the store answered.
-    fn count<T>(&mut self, call: &'static str, result: &Result<T, PlatformError>) {
+    /// Records whether the store answered a call.
+    fn record_result<T>(&mut self, call: &'static str, result: &Result<T, PlatformError>) {
         let instance = Rc::clone(&self.instance);
         instance.count_call(call, result.is_ok());
         let before = instance.store.get();
         match result {
             Ok(_) => {
-                if before != StoreHealth::Answering && self.is_nobody_answered() {
-                    instance.state.borrow_mut().store_is_back(instance.now());
+                if before != StoreHealth::Answering && self.is_no_peer_answered() {
+                    instance.state.borrow_mut().record_store_recovery(instance.now());
                 }
                 instance.store.set(StoreHealth::Answering);
-                instance.store_heard();
+                instance.record_store_answer();
                 if before == StoreHealth::Failing {
                     log::info!(call; "the store answers again");
                 }
@@ -263,12 +277,12 @@
             }
         }
         if before != instance.store.get() {
-            fleet::announce(&instance);
+            fleet::broadcast_heartbeat(&instance);
         }
     }
 
-    /// Whether the store has answered none of the instances lately.
-    fn is_nobody_answered(&self) -> bool {
+    /// Whether no other running instance reports that the store answers it.
+    fn is_no_peer_answered(&self) -> bool {
         let beats = self.instance.beats.borrow();
         let mut up = beats.peers().filter(|peer| peer.is_up());
         !up.any(|peer| peer.vitals.store == StoreHealth::Answering)
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -140,7 +140,7 @@
     }
     assert!(line["steps"].as_str().unwrap().contains(":answered:"), "{line}");
     let events: Vec<_> = gateway.log().iter().map(|l| l["event"].clone()).collect();
-    for event in ["started", "configuration in force", "watches the store"] {
+    for event in ["started", "configuration in force", "watching the store"] {
         wait_until(event, || gateway.log().iter().any(|l| l["event"] == event));
     }
     assert!(!events.is_empty());
