--- a/crates/galenapath-gateway/src/addresses.rs
+++ b/crates/galenapath-gateway/src/addresses.rs
@@ -12,8 +12,8 @@
 
 /// Addresses for a caller in failure domain `domain`.
 pub(crate) fn answer(instance: &Instance, domain: &str) -> Vec<SocketAddr> {
-    let beats = instance.beats.borrow();
-    let (own, vitals) = (instance.member(), instance.vitals());
+    let beats = instance.membership.borrow();
+    let (own, vitals) = (instance.member(), instance.status());
     let seeds = &instance.settings().listen.seeds;
     let reachable = |member, vitals| reachable(member, vitals, seeds);
     let usable = beats.peers().filter(|peer| peer.is_usable());
@@ -52,14 +52,14 @@
 /// Requests a second that callers of `domain` send, also to instances that are about to stop; `None` while
 /// rates are not known.
 fn recent_load(instance: &Instance, domain: &str) -> Option<u32> {
-    if instance.served_for() <= RATE_KNOWN_AFTER {
+    if instance.since_first_address_request() <= RATE_KNOWN_AFTER {
         return None;
     }
-    let beats = instance.beats.borrow();
+    let beats = instance.membership.borrow();
     let is_there = |peer: &&Peer| peer.is_up() && &*peer.member.domain.0 == domain;
     let others: u32 = beats.peers().filter(is_there).map(|peer| peer.vitals.rate).sum();
     let is_own = &*instance.settings().domain.0 == domain;
-    let own = if is_own { instance.vitals().rate } else { 0 };
+    let own = if is_own { instance.status().rate } else { 0 };
     let (now, key) = (instance.now(), DomainId(domain.into()));
     let mut loads = instance.recent_loads.borrow_mut();
     let before = loads.get(&key).copied().unwrap_or_default();
--- a/crates/galenapath-gateway/src/caller.rs
+++ b/crates/galenapath-gateway/src/caller.rs
@@ -183,12 +183,12 @@
     };
     let path = request::path(&head);
     let fingerprint = Fingerprint::of(&route.host, head.method.as_str(), &path, &body);
-    let failed_first = instance.failed.borrow_mut().take(arrived, fingerprint.0);
+    let failed_first = instance.failed_requests.borrow_mut().take(arrived, fingerprint.0);
     let first_at = failed_first.unwrap_or(arrived);
     let chance = if failed_first.is_some() { Chance::Last } else { Chance::First };
     let target_at = instance.target_at(&route, arrived, first_at, told);
     let req = Request {
-        ticket: instance.next_ticket(),
+        ticket: instance.next_request_number(),
         id,
         path,
         fingerprint,
@@ -228,7 +228,7 @@
     caller: &mut Caller,
     req: Request,
 ) -> Result<(), HttpError> {
-    let part = instance.pick_part(&req.route).to_owned();
+    let part = instance.pick_service(&req.route).to_owned();
     let Some(service) = instance.service(&part) else {
         let answer = OwnAnswer::new(StatusCode::SERVICE_UNAVAILABLE, "no_service");
         note_refused(instance, req.id.as_ref(), &req.path, &answer);
@@ -247,7 +247,7 @@
         Some(Ok(reply)) => relay::send(&call, caller, reply).await,
         Some(Err(failure)) => {
             let (now, req) = (instance.now(), &call.req);
-            instance.failed.borrow_mut().note(now, req.fingerprint.0, req.first_at);
+            instance.failed_requests.borrow_mut().note(now, req.fingerprint.0, req.first_at);
             let end = End {
                 status: failure.status,
                 outcome: failure.reason,
--- a/crates/galenapath-gateway/src/exchange.rs
+++ b/crates/galenapath-gateway/src/exchange.rs
@@ -220,7 +220,7 @@
         Either::Right((copy, first)) => (copy, first),
     };
     let Some(copy) = copy else { return first.await };
-    call.instance.metrics.copies.inc();
+    call.instance.metrics.hedges.inc();
     call.note("copy ");
     let second = pin!(attempt(call, copy));
     match select(first, second).await {
--- a/crates/galenapath-gateway/src/fitness.rs
+++ b/crates/galenapath-gateway/src/fitness.rs
@@ -96,7 +96,7 @@
     kept: Option<Connection>,
 ) -> Result<Health, Fault> {
     let instance = &call.instance;
-    let patience = instance.patience_with_questions();
+    let patience = instance.query_timeout();
     let (tx, rx) = oneshot::channel();
     monoio::spawn(question(
         Rc::clone(instance),
@@ -146,7 +146,7 @@
     if let Some(kept) = kept {
         let asked_at = instance.now();
         if let Ok(health) = health::ask(instance, service, server, kept).await {
-            instance.question_took(instance.now() - asked_at);
+            instance.record_query_time(instance.now() - asked_at);
             return Ok(health);
         }
     }
--- a/crates/galenapath-gateway/src/fleet/convert.rs
+++ b/crates/galenapath-gateway/src/fleet/convert.rs
@@ -22,19 +22,19 @@
 const SERVES_CALLERS: u8 = 32;
 const CROSSES: u8 = 64;
 
-fn flags(vitals: &Vitals) -> u8 {
+fn flags(status: &Vitals) -> u8 {
     let bit = |is_set: bool, bit: u8| if is_set { bit } else { 0 };
-    let store = match vitals.store {
+    let store = match status.store {
         StoreHealth::Untried => 0,
         StoreHealth::Answering => STORE_ANSWERS,
         StoreHealth::Failing => STORE_FAILS,
     };
     store
-        | bit(vitals.is_ready, READY)
-        | bit(vitals.is_leaving, LEAVING)
-        | bit(vitals.is_watching, WATCHING)
-        | bit(vitals.serves_callers, SERVES_CALLERS)
-        | bit(vitals.crosses, CROSSES)
+        | bit(status.is_ready, READY)
+        | bit(status.is_leaving, LEAVING)
+        | bit(status.is_watching, WATCHING)
+        | bit(status.serves_callers, SERVES_CALLERS)
+        | bit(status.crosses, CROSSES)
 }
 
 impl From<&Beat> for BeatWire {
--- a/crates/galenapath-gateway/src/fleet/joining.rs
+++ b/crates/galenapath-gateway/src/fleet/joining.rs
@@ -31,7 +31,7 @@
 pub(crate) async fn join(instance: Rc<Instance>) {
     let mut attempts = usize::from(rand::random::<u8>());
     loop {
-        if instance.beats.borrow().is_alone() {
+        if instance.membership.borrow().is_alone() {
             request_members_from_seed(&instance, attempts);
             attempts += 1;
         }
@@ -66,16 +66,16 @@
 pub(super) fn apply_members(instance: &Instance, members: Vec<Member>, from: SocketAddr) {
     let is_introduction = members.len() == 1;
     for member in members {
-        let (address, is_home) = (member.peers, member.domain == instance.settings().domain);
+        let (address, is_local) = (member.peers, member.domain == instance.settings().domain);
         let incarnation = member.incarnation;
         let learned = learn(instance, member);
         if address == from {
-            instance.beats.borrow_mut().spoke(instance.now(), incarnation);
+            instance.membership.borrow_mut().spoke(instance.now(), incarnation);
         }
         match (learned, address == from) {
             // The heartbeat gives a new instance the store's health and more; one from its own
             // failure domain is enough.
-            (Learned::News, true) if is_home || !is_introduction => {
+            (Learned::News, true) if is_local || !is_introduction => {
                 send_heartbeat(instance, &[address]);
             }
             // The sender considered this instance gone, or lost the first answer.
@@ -98,7 +98,7 @@
 pub(super) fn learn(instance: &Instance, member: Member) -> Learned {
     let now = instance.now();
     let joined = (member.id.0.clone(), member.incarnation);
-    let learned = instance.beats.borrow_mut().learn(now, member);
+    let learned = instance.membership.borrow_mut().learn(now, member);
     // The budget keeps hundreds of instances that start together from writing a line each on all of
     // them.
     if learned == Learned::News && instance.may_log(LineKind::Peer) {
@@ -111,8 +111,8 @@
 pub(super) fn send_members(instance: &Instance, to: SocketAddr) {
     let own = instance.member();
     let mut members: Vec<Member> = {
-        let beats = instance.beats.borrow();
-        beats.peers().filter(|peer| peer.is_up()).map(|peer| peer.member.clone()).collect()
+        let membership = instance.membership.borrow();
+        membership.peers().filter(|peer| peer.is_up()).map(|peer| peer.member.clone()).collect()
     };
     members.push(own);
     for part in members.chunks(MEMBERS_PER_DATAGRAM) {
--- a/crates/galenapath-gateway/src/fleet/pull.rs
+++ b/crates/galenapath-gateway/src/fleet/pull.rs
@@ -85,12 +85,12 @@
     }
     let instance = Rc::clone(instance);
     monoio::spawn(async move {
-        if !instance.beats.borrow().is_home(&notifier) {
+        if !instance.membership.borrow().is_home(&notifier) {
             sleep(domain_wait(&instance)).await;
         }
         let mut from = pick_peer_ahead(&instance);
         while let Some(address) = from {
-            let before = instance.vitals();
+            let before = instance.status();
             let result = monoio::time::timeout(TIMEOUT, pull(&instance, address)).await;
             match result {
                 Ok(Ok(Pulled::Applied | Pulled::Busy)) => {}
@@ -101,7 +101,7 @@
                     log::info!(from:% = address; "state not fetched from instance: timed out");
                 }
             }
-            if instance.vitals() == before {
+            if instance.status() == before {
                 sleep(Micros(rand::random_range(0..MAX_RETRY_DELAY.0))).await;
             } else {
                 tasks::notify_targets(&instance);
@@ -121,13 +121,13 @@
 
 /// Picks a random instance that is ahead of this one, from its own failure domain if there is one.
 fn pick_peer_ahead(instance: &Instance) -> Option<SocketAddr> {
-    let own = instance.vitals();
+    let own = instance.status();
     let domain = &instance.settings().domain;
-    let beats = instance.beats.borrow();
-    let ahead = beats.peers().filter(|peer| peer.is_up() && is_ahead(&peer.vitals, &own));
-    let (own_domain, others): (Vec<&Peer>, Vec<&Peer>) =
+    let membership = instance.membership.borrow();
+    let ahead = membership.peers().filter(|peer| peer.is_up() && is_ahead(&peer.vitals, &own));
+    let (local, remote): (Vec<&Peer>, Vec<&Peer>) =
         ahead.partition(|peer| peer.member.domain == *domain);
-    let ahead = if own_domain.is_empty() { others } else { own_domain };
+    let ahead = if local.is_empty() { remote } else { local };
     (!ahead.is_empty()).then(|| ahead[rand::random_range(0..ahead.len())].member.peers)
 }
 
@@ -138,9 +138,9 @@
 
 async fn pull(instance: &Instance, from: SocketAddr) -> Result<Pulled> {
     exchange(instance, from, false).await?;
-    let own = instance.vitals().config_version;
+    let own = instance.status().config_version;
     let is_newer = |peer: &Peer| peer.member.peers == from && peer.vitals.config_version > own;
-    let wants_config = instance.beats.borrow().peers().any(is_newer);
+    let wants_config = instance.membership.borrow().peers().any(is_newer);
     if wants_config { exchange(instance, from, true).await } else { Ok(Pulled::Applied) }
 }
 
@@ -153,8 +153,8 @@
     let mut io = TcpStream::connect_addr(from).await?;
     let sent = write(&mut io, &request).await?;
     let (state, received): (StateWire, usize) = read(&mut io).await?;
-    let is_home = instance.beats.borrow().is_home(&from);
-    instance.usage.count(Flow::State, is_home, (sent + received) as u64);
+    let is_local = instance.membership.borrow().is_home(&from);
+    instance.usage.count(Flow::State, is_local, (sent + received) as u64);
     if state.is_busy {
         return Ok(Pulled::Busy);
     }
--- a/crates/galenapath-gateway/src/fleet/tasks.rs
+++ b/crates/galenapath-gateway/src/fleet/tasks.rs
@@ -39,30 +39,30 @@
     loop {
         sleep_to_next(&instance, TICK_PERIOD).await;
         let now = instance.now();
-        let changes = instance.beats.borrow_mut().tick(now);
+        let changes = instance.membership.borrow_mut().tick(now);
         changes.iter().for_each(|change| log_belief(&instance, change));
-        let up = instance.beats.borrow().peers().filter(|peer| peer.is_up()).count();
+        let up = instance.membership.borrow().peers().filter(|peer| peer.is_up()).count();
         instance.metrics.peers.set(i64::try_from(up).unwrap_or(i64::MAX));
         instance.expire_servers();
         if changes.iter().any(|change| change.is_own) {
             announcements.begin(now);
         }
-        let vitals = instance.vitals();
+        let status = instance.status();
         let audience =
-            if announcements.is_due(now) { Audience::All } else { audience(&last_sent, &vitals) };
+            if announcements.is_due(now) { Audience::All } else { audience(&last_sent, &status) };
         match audience {
             Audience::All => broadcast_heartbeat(&instance),
             Audience::Serving => {
-                let to = instance.beats.borrow().home_and_serving();
+                let to = instance.membership.borrow().home_and_serving();
                 send_heartbeat(&instance, &to);
             }
             Audience::Targets => {
-                let due = instance.beats.borrow_mut().due(now, vitals.serves_callers);
+                let due = instance.membership.borrow_mut().due(now, status.serves_callers);
                 send_heartbeat(&instance, &due);
                 continue;
             }
         }
-        last_sent = vitals;
+        last_sent = status;
     }
 }
 
@@ -139,14 +139,14 @@
 
 /// Sends a heartbeat to all other instances now.
 pub(crate) fn broadcast_heartbeat(instance: &Instance) {
-    let all = instance.beats.borrow().all();
+    let all = instance.membership.borrow().all();
     send_heartbeat(instance, &all);
 }
 
 /// Sends a heartbeat now to the instances that receive this one's periodic heartbeats, so that they
 /// learn where newer state is available.
 pub(super) fn notify_targets(instance: &Instance) {
-    let targets = instance.beats.borrow().targets();
+    let targets = instance.membership.borrow().targets();
     send_heartbeat(instance, &targets);
 }
 
@@ -155,10 +155,10 @@
         return;
     }
     let (accused, digest) = {
-        let beats = instance.beats.borrow();
-        (beats.accused(), beats.digest())
+        let membership = instance.membership.borrow();
+        (membership.accused(), membership.digest())
     };
-    let heartbeat = Beat { from: instance.incarnation, vitals: instance.vitals(), accused, digest };
+    let heartbeat = Beat { from: instance.incarnation, vitals: instance.status(), accused, digest };
     let datagram = encode(&Datagram::Heartbeat(heartbeat));
     to.iter().for_each(|address| instance.send(*address, &datagram, Flow::Heartbeat));
 }
@@ -166,7 +166,7 @@
 /// Notifies all other instances that this one is about to exit.
 pub(crate) fn broadcast_end(instance: &Instance) {
     let datagram = encode(&Datagram::End(instance.incarnation));
-    let all = instance.beats.borrow().all();
+    let all = instance.membership.borrow().all();
     all.iter().for_each(|address| instance.send(*address, &datagram, Flow::Members));
 }
 
@@ -199,7 +199,7 @@
         Datagram::Hello(member) => {
             let incarnation = member.incarnation;
             learn(instance, member);
-            instance.beats.borrow_mut().spoke(instance.now(), incarnation);
+            instance.membership.borrow_mut().spoke(instance.now(), incarnation);
             send_members(instance, from);
             // A new instance fetches the state from an instance whose heartbeat shows that it has
             // one.
@@ -210,15 +210,15 @@
         Datagram::Notices(notices) => instance.take_notices(&notices),
         Datagram::End(incarnation) => {
             log::info!(incarnation:% = incarnation; "instance has ended");
-            instance.beats.borrow_mut().ended(incarnation);
+            instance.membership.borrow_mut().ended(incarnation);
         }
     }
 }
 
 fn handle_heartbeat(instance: &Rc<Instance>, heartbeat: &Beat, from: SocketAddr) {
-    let was_ready = instance.beats.borrow().is_ready(heartbeat.from);
-    let outcome = instance.beats.borrow_mut().hear(instance.now(), heartbeat);
-    if !was_ready && instance.beats.borrow().is_ready(heartbeat.from) {
+    let was_ready = instance.membership.borrow().is_ready(heartbeat.from);
+    let outcome = instance.membership.borrow_mut().hear(instance.now(), heartbeat);
+    if !was_ready && instance.membership.borrow().is_ready(heartbeat.from) {
         instance.tell_newcomer(from);
     }
     if heartbeat.vitals.store == StoreHealth::Answering {
@@ -233,7 +233,7 @@
             request_members(instance, &[from]);
         }
     }
-    if pull::is_ahead(&heartbeat.vitals, &instance.vitals()) {
+    if pull::is_ahead(&heartbeat.vitals, &instance.status()) {
         pull::start(instance, from);
     }
 }
@@ -246,6 +246,6 @@
     }
     instance.refuted_at.set(now);
     log::info!("reported as silent by another instance; sending a heartbeat to all");
-    let everybody = instance.beats.borrow().everybody();
+    let everybody = instance.membership.borrow().everybody();
     send_heartbeat(instance, &everybody);
 }
--- a/crates/galenapath-gateway/src/in_flight.rs
+++ b/crates/galenapath-gateway/src/in_flight.rs
@@ -45,7 +45,7 @@
     /// The request is on its way.
     pub(crate) fn sent(&self) {
         self.count_sent();
-        self.instance.note_send(!self.service.is_home(&self.server));
+        self.instance.record_send(!self.service.is_home(&self.server));
         self.share_load();
     }
 
--- a/crates/galenapath-gateway/src/instance.rs
+++ b/crates/galenapath-gateway/src/instance.rs
@@ -48,7 +48,7 @@
     /// Configuration and backend servers.
     pub(crate) state: RefCell<State>,
     /// Other instances.
-    pub(crate) beats: RefCell<Beats>,
+    pub(crate) membership: RefCell<Beats>,
     /// Services by name, from the configuration.
     pub(crate) services: RefCell<Services>,
     splits: RefCell<FastMap<String, SplitTurn>>,
@@ -57,7 +57,7 @@
     /// Requests suspected of crashing backend servers.
     pub(crate) suspects: RefCell<Suspects>,
     /// Requests that failed on this instance and that their callers may retry.
-    pub(crate) failed: RefCell<FailedRequests>,
+    pub(crate) failed_requests: RefCell<FailedRequests>,
     /// Updates to send to other instances with the next datagram.
     pub(crate) outbox: RefCell<Outbox>,
     pub(crate) stage: Cell<Stage>,
@@ -102,7 +102,7 @@
             clock,
             metrics,
             state: RefCell::default(),
-            beats: RefCell::new(Beats::new(
+            membership: RefCell::new(Beats::new(
                 BeatConfig::default(),
                 incarnation,
                 settings.domain.clone(),
@@ -112,7 +112,7 @@
             splits: RefCell::default(),
             longest_timeouts: RefCell::default(),
             suspects: RefCell::new(Suspects::new(SuspectConfig::default())),
-            failed: RefCell::default(),
+            failed_requests: RefCell::default(),
             outbox: RefCell::default(),
             stage: Cell::new(Stage::Serving),
             store: Cell::default(),
@@ -174,7 +174,7 @@
     }
 
     /// The status that this instance reports to the others.
-    pub(crate) fn vitals(&self) -> Vitals {
+    pub(crate) fn status(&self) -> Vitals {
         let state = self.state.borrow();
         Vitals {
             is_ready: self.is_ready(),
@@ -191,7 +191,7 @@
     }
 
     /// Counts a request and returns its number.
-    pub(crate) fn next_ticket(&self) -> u64 {
+    pub(crate) fn next_request_number(&self) -> u64 {
         let now = self.now();
         self.rate.set(self.rate.get().with_request(now));
         let rate = self.rate.get().per_second(now);
@@ -205,7 +205,7 @@
 
     /// Records that a request is sent to a server; `is_cross_domain` if the server is in another
     /// failure domain.
-    pub(crate) fn note_send(&self, is_cross_domain: bool) {
+    pub(crate) fn record_send(&self, is_cross_domain: bool) {
         self.cross_domain_sends
             .set(self.cross_domain_sends.get().sent(self.now(), is_cross_domain));
     }
@@ -222,12 +222,12 @@
     }
 
     /// Time for which a request waits for the answer to its load query.
-    pub(crate) fn patience_with_questions(&self) -> Micros {
+    pub(crate) fn query_timeout(&self) -> Micros {
         self.query_times.get().patience()
     }
 
     /// Records that a server answered a load query on an open connection after `took`.
-    pub(crate) fn question_took(&self, took: Micros) {
+    pub(crate) fn record_query_time(&self, took: Micros) {
         self.query_times.set(self.query_times.get().with(took));
     }
 
@@ -237,12 +237,12 @@
     }
 
     /// Updates the gauges and counters that are computed only when metrics are read.
-    pub(crate) fn refresh_ages(&self) {
+    pub(crate) fn refresh_gauges(&self) {
         let now = self.now();
         self.usage.publish(&self.metrics);
         let seconds = |span: Micros| span.as_millis_f64() / 1_000.0;
         self.metrics.store_age.set(seconds(now - self.store_answered_at.get()));
-        self.metrics.peer_silence.set(seconds(self.beats.borrow().longest_silence(now)));
+        self.metrics.peer_silence.set(seconds(self.membership.borrow().longest_silence(now)));
         let services = self.services.borrow();
         let count = |of: fn(&Placement, Micros) -> usize| {
             let counts = services.values().map(|service| of(&service.placement.borrow(), now));
@@ -259,7 +259,7 @@
     }
 
     /// Time since the first request for addresses. The first call sets the start.
-    pub(crate) fn served_for(&self) -> Micros {
+    pub(crate) fn since_first_address_request(&self) -> Micros {
         let now = self.now();
         if self.first_address_request_at.get() == Micros::ZERO {
             self.first_address_request_at.set(now);
@@ -268,7 +268,7 @@
     }
 
     /// Selects the service for the next request of `route`.
-    pub(crate) fn pick_part<'a>(&self, route: &'a Route) -> &'a str {
+    pub(crate) fn pick_service<'a>(&self, route: &'a Route) -> &'a str {
         if let [only] = route.parts.as_slice() {
             return &only.service;
         }
@@ -322,8 +322,8 @@
 
     /// Sends a datagram. A send error is only logged: the protocol tolerates lost datagrams.
     pub(crate) fn send(&self, to: SocketAddr, datagram: &[u8], flow: Flow) {
-        let is_home = self.beats.borrow().is_home(&to);
-        self.usage.count_datagram(flow, is_home, datagram.len());
+        let is_local = self.membership.borrow().is_home(&to);
+        self.usage.count_datagram(flow, is_local, datagram.len());
         if let Err(e) = self.udp.send_to(datagram, to) {
             log::debug!(to:% = to, error:% = e; "failed to send a datagram");
         }
--- a/crates/galenapath-gateway/src/leaving.rs
+++ b/crates/galenapath-gateway/src/leaving.rs
@@ -14,7 +14,7 @@
 
 /// Process runs of servers that are leaving.
 #[derive(Debug, Default)]
-pub(crate) struct Leaving {
+pub(crate) struct LeavingServers {
     marks: LeavingMarks,
     /// Runs that reported to this instance directly within `REPEAT_FOR`, oldest first.
     direct: VecDeque<(Micros, BackendId)>,
@@ -25,7 +25,7 @@
     LeavingMark { backend: run.clone(), started: 0 }
 }
 
-impl Leaving {
+impl LeavingServers {
     /// Whether a run is known to be leaving.
     pub(crate) fn contains(&self, run: &BackendId) -> bool {
         self.marks.is_leaving(run, 0)
@@ -38,12 +38,12 @@
 
     /// Records that a run reported directly to this instance, for the first time, that it is
     /// leaving.
-    pub(crate) fn heard(&mut self, now: Micros, run: &BackendId) {
+    pub(crate) fn record_direct(&mut self, now: Micros, run: &BackendId) {
         self.direct.push_back((now, run.clone()));
     }
 
     /// Runs whose notice is to be repeated: those that reported directly within `REPEAT_FOR`.
-    pub(crate) fn told_again(&mut self, now: Micros) -> impl Iterator<Item = &BackendId> {
+    pub(crate) fn recent_direct(&mut self, now: Micros) -> impl Iterator<Item = &BackendId> {
         while self.direct.front().is_some_and(|(at, _)| now - *at >= REPEAT_FOR) {
             self.direct.pop_front();
         }
--- a/crates/galenapath-gateway/src/metrics.rs
+++ b/crates/galenapath-gateway/src/metrics.rs
@@ -30,10 +30,11 @@
     /// Requests sent to backend servers, by outcome.
     pub sends: IntCounterVec,
     /// Hedged requests sent.
-    pub copies: IntCounter,
+    pub hedges: IntCounter,
     /// Connections opened to backend servers, by purpose.
     pub connects: IntCounterVec,
-    /// Bytes sent and received, by flow and by whether the other end is in the own failure domain.
+    /// Bytes sent and received, by flow and by whether the other end is in this instance's failure
+    /// domain.
     pub bytes: IntCounterVec,
     /// Load probes, by result.
     pub probes: IntCounterVec,
@@ -84,7 +85,7 @@
             peer_silence: age(&r, "peer_silence_seconds", "Longest silence of an instance")?,
             load_age: ages(&r, "load_age_seconds", "Mean age of the servers' loads")?,
             sends: counters(&r, "sends_total", "Sends to backend servers", &["outcome"])?,
-            copies: counter(&r, "copies_total", "Second copies sent")?,
+            hedges: counter(&r, "copies_total", "Second copies sent")?,
             connects: counters(&r, "connects_total", "Connections to backend servers", &["for"])?,
             bytes: counters(&r, "bytes_total", "Bytes by flow", &["flow", "domain"])?,
             probes: counters(&r, "probes_total", "Load probes", &["result"])?,
--- a/crates/galenapath-gateway/src/notices.rs
+++ b/crates/galenapath-gateway/src/notices.rs
@@ -38,7 +38,7 @@
         if !service.placement.borrow_mut().hear_limit(self.now(), id, word) {
             return false;
         }
-        probe::share_scarce(self);
+        probe::assign_warming_and_limits(self);
         if self.may_log(LineKind::Peer) {
             let (is_limited, limit) = (word.per_second.is_some(), word.per_second.unwrap_or(0.0));
             log::info!(server:% = id, is_limited, limit, told_by; "rate limit of a server");
@@ -83,7 +83,7 @@
 
     /// Tells all instances what is news: stray requests come to any of them.
     pub(crate) fn tell(&self, notices: &Notices) {
-        let all = self.beats.borrow().all();
+        let all = self.membership.borrow().all();
         self.send_notices(notices, &all);
     }
 
@@ -94,7 +94,7 @@
             return;
         }
         let to: Vec<SocketAddr> = {
-            let beats = self.beats.borrow();
+            let beats = self.membership.borrow();
             let serving = beats.peers().filter(|p| p.is_up() && p.vitals.serves_callers);
             serving.map(|peer| peer.member.peers).collect()
         };
@@ -104,7 +104,7 @@
     /// Tells an instance that has just become ready what servers have said: all that is known, where it is of the
     /// own failure domain, so that it need not be told by the servers.
     pub(crate) fn tell_newcomer(&self, newcomer: SocketAddr) {
-        let is_home = self.beats.borrow().is_home(&newcomer);
+        let is_home = self.membership.borrow().is_home(&newcomer);
         let limits = if is_home { Placement::limits_told } else { Placement::limits_told_again };
         self.send_notices(&self.notices(limits), &[newcomer]);
     }
@@ -120,7 +120,7 @@
     fn notices(&self, limits: fn(&Placement, Micros) -> Vec<(BackendId, RateLimit)>) -> Notices {
         let now = self.now();
         let leaving =
-            self.state.borrow_mut().leaving.told_again(now).map(BackendId::hash).collect();
+            self.state.borrow_mut().leaving.recent_direct(now).map(BackendId::hash).collect();
         let mut notices = Notices { leaving, ..Notices::default() };
         for service in self.services.borrow().values() {
             let limits = limits(&service.placement.borrow(), now);
--- a/crates/galenapath-gateway/src/probe.rs
+++ b/crates/galenapath-gateway/src/probe.rs
@@ -77,7 +77,7 @@
 
 /// Updates the set of servers that this instance probes.
 fn assign(instance: &Instance, targets: &Targets) {
-    let (now, shares) = (instance.now(), instance.ask_shares());
+    let (now, shares) = (instance.now(), instance.query_shares());
     for service in instance.services.borrow().values() {
         service.prune_connections(now);
         service.share_probes(now, shares);
@@ -85,7 +85,7 @@
     }
     let assigned =
         if may_probe(instance) { assigned_servers(instance) } else { FastMap::default() };
-    share_scarce(instance);
+    assign_warming_and_limits(instance);
     let mut targets = targets.borrow_mut();
     targets.retain(|id, target| assigned.get(id).is_some_and(|(_, at)| *at == target.address));
     for (id, (service, address)) in assigned {
@@ -103,24 +103,25 @@
 /// Whether this instance is one of those that probe: it serves callers, or no instance does.
 fn may_probe(instance: &Instance) -> bool {
     let is_past_startup = instance.clock.age() >= STARTUP_DELAY;
-    is_past_startup && (instance.vitals().serves_callers || !is_any_peer_serving(instance))
+    is_past_startup && (instance.status().serves_callers || !is_any_peer_serving(instance))
 }
 
 fn is_any_peer_serving(instance: &Instance) -> bool {
-    let beats = instance.beats.borrow();
-    beats.peers().any(|peer| peer.is_usable() && peer.vitals.serves_callers)
+    let membership = instance.membership.borrow();
+    membership.peers().any(|peer| peer.is_usable() && peer.vitals.serves_callers)
 }
 
 /// Updates which cold servers this instance warms up, and its shares of the rate limits that
 /// servers stated.
-pub(crate) fn share_scarce(instance: &Instance) {
+pub(crate) fn assign_warming_and_limits(instance: &Instance) {
     let (now, own) = (instance.now(), instance.incarnation);
-    let beats = instance.beats.borrow();
+    let membership = instance.membership.borrow();
     // An isolated instance would take over servers from instances that it cannot reach but that
     // still send to them. A stopping instance has handed its share to the others, if there are any.
-    let is_replaced = instance.stage.get() >= Stage::Leaving && beats.peers().any(Peer::is_usable);
-    let may_send = may_probe(instance) && !beats.is_doubtful() && !is_replaced;
-    let probing = probing_instances(instance, &beats);
+    let is_replaced =
+        instance.stage.get() >= Stage::Leaving && membership.peers().any(Peer::is_usable);
+    let may_send = may_probe(instance) && !membership.is_doubtful() && !is_replaced;
+    let probing = probing_instances(instance, &membership);
     for service in instance.services.borrow().values() {
         let domain = |id: &BackendId| service.domain(id).filter(|_| may_send);
         let is_warmed_here = |id: &BackendId| {
@@ -137,9 +138,9 @@
 }
 
 /// The instances that probe, including this one.
-fn probing_instances<'a>(instance: &Instance, beats: &'a Beats) -> Vec<Prober<'a>> {
-    let is_any_serving = instance.vitals().serves_callers || is_any_peer_serving(instance);
-    let others = beats.peers().filter(|peer| peer.is_usable());
+fn probing_instances<'a>(instance: &Instance, membership: &'a Beats) -> Vec<Prober<'a>> {
+    let is_any_serving = instance.status().serves_callers || is_any_peer_serving(instance);
+    let others = membership.peers().filter(|peer| peer.is_usable());
     let others = others.filter(|peer| !is_any_serving || peer.vitals.serves_callers);
     let mut probing: Vec<Prober<'_>> = others
         .map(|peer| Prober {
@@ -150,16 +151,16 @@
         .collect();
     probing.push(Prober {
         incarnation: instance.incarnation,
-        domain: beats.domain(),
-        crosses: instance.vitals().crosses,
+        domain: membership.domain(),
+        crosses: instance.status().crosses,
     });
     probing
 }
 
 /// The servers assigned to this instance, which is one of those that probe.
 fn assigned_servers(instance: &Instance) -> FastMap<BackendId, (Rc<Service>, SocketAddr)> {
-    let beats = instance.beats.borrow();
-    let probing = probing_instances(instance, &beats);
+    let membership = instance.membership.borrow();
+    let probing = probing_instances(instance, &membership);
     let mut assigned = FastMap::default();
     for service in instance.services.borrow().values() {
         service.refresh(instance);
--- a/crates/galenapath-gateway/src/questions.rs
+++ b/crates/galenapath-gateway/src/questions.rs
@@ -73,7 +73,7 @@
 fn answer(instance: &Instance, head: &RequestHead) -> Reply {
     let json = |status, body| Reply { status, content: "application/json", body };
     if head.uri.path() == METRICS {
-        instance.refresh_ages();
+        instance.refresh_gauges();
         let body = instance.metrics.page().into();
         return Reply { status: StatusCode::OK, content: "text/plain; version=0.0.4", body };
     }
--- a/crates/galenapath-gateway/src/said.rs
+++ b/crates/galenapath-gateway/src/said.rs
@@ -61,7 +61,7 @@
         let told = self.head.headers.get(&instance.names.leaving);
         let is_leaving = told.is_some_and(|told| told != NOT_LEAVING);
         if is_leaving && instance.hear_leaving(self.service, self.id, self.answered.as_str()) {
-            instance.state.borrow_mut().leaving.heard(instance.now(), self.id);
+            instance.state.borrow_mut().leaving.record_direct(instance.now(), self.id);
             instance.tell(&Notices { leaving: vec![self.id.hash()], ..Notices::default() });
         }
     }
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -146,7 +146,7 @@
         let home = instance.settings().domain.clone();
         let mut list = Vec::new();
         let now = instance.now();
-        let shares = instance.ask_shares();
+        let shares = instance.query_shares();
         let mut before = self.listed.take();
         let mut listed = FastMap::default();
         for record in directory.servers().filter(|record| *record.service == *self.name) {
--- a/crates/galenapath-gateway/src/services.rs
+++ b/crates/galenapath-gateway/src/services.rs
@@ -64,7 +64,7 @@
         let in_use = || all.iter().filter(|service| !service.is_idle(now));
         in_use().for_each(|service| service.refresh(self));
         // Servers that have come back cold get their first requests at once.
-        probe::share_scarce(self);
+        probe::assign_warming_and_limits(self);
         in_use().for_each(|service| service.poll(self));
         let state = self.state.borrow();
         let servers = i64::try_from(state.directory().servers().count()).unwrap_or(i64::MAX);
--- a/crates/galenapath-gateway/src/serving.rs
+++ b/crates/galenapath-gateway/src/serving.rs
@@ -42,25 +42,25 @@
         rate >= MIN_SERVING_RATE && rate >= self.busiest_rate_in_domain() / BUSIEST_RATE_DIVISOR
     }
 
-    /// The highest request rate of another instance in the own failure domain.
+    /// The highest request rate of another instance in this instance's failure domain.
     fn busiest_rate_in_domain(&self) -> u32 {
         let domain = &self.settings().domain;
-        let beats = self.beats.borrow();
-        let in_domain = beats.peers().filter(|p| p.is_up() && p.member.domain == *domain);
+        let membership = self.membership.borrow();
+        let in_domain = membership.peers().filter(|p| p.is_up() && p.member.domain == *domain);
         in_domain.map(|peer| peer.vitals.rate).max().unwrap_or(0)
     }
 
     /// The shares of the load queries to servers that this instance may send.
-    pub(crate) fn ask_shares(&self) -> AskShares {
+    pub(crate) fn query_shares(&self) -> AskShares {
         let domain = self.settings().domain.clone();
-        let vitals = self.vitals();
-        let beats = self.beats.borrow();
-        let others = || beats.peers().filter(|peer| peer.is_up());
+        let status = self.status();
+        let membership = self.membership.borrow();
+        let others = || membership.peers().filter(|peer| peer.is_up());
         let mut domains: FastSet<&DomainId> = others().map(|peer| &peer.member.domain).collect();
         domains.insert(&domain);
         let in_domain = others().filter(|peer| peer.member.domain == domain);
         AskShares::by_rates(&ServedRates {
-            own: vitals.serves_callers.then_some(vitals.rate),
+            own: status.serves_callers.then_some(status.rate),
             others_at_home: serving(in_domain).map(|peer| peer.vitals.rate).sum(),
             domains: u32::try_from(domains.len()).unwrap_or(u32::MAX),
         })
@@ -69,8 +69,8 @@
     /// The fraction of all requests from callers that arrive at this instance, from 0 to 1; never
     /// zero.
     pub(crate) fn load_share(&self) -> f32 {
-        let beats = self.beats.borrow();
-        let others = serving(beats.peers().filter(|peer| peer.is_up()));
+        let membership = self.membership.borrow();
+        let others = serving(membership.peers().filter(|peer| peer.is_up()));
         let others: u32 = others.map(|peer| peer.vitals.rate).sum();
         let own = self.rate.get().per_second(self.now()).max(1);
         own as f32 / own.saturating_add(others) as f32
--- a/crates/galenapath-gateway/src/sharing.rs
+++ b/crates/galenapath-gateway/src/sharing.rs
@@ -1,10 +1,10 @@
 //! Exchange of load observations and failures of backend servers between instances, a few bytes
 //! each, in batches.
 //!
-//! Only instances that serve callers receive them, since the others route few requests. Crashes and
-//! servers that have turned cold are sent to all instances, because a single stray request can do
-//! harm there. An instance receives updates on servers of other failure domains only while it sends
-//! requests to those.
+//! Only instances that serve callers receive them, since the others make few decisions by them.
+//! Crashes and servers that have turned cold are sent to all instances, because a single stray
+//! request can do harm there. An instance receives updates on servers of other failure domains only
+//! while it sends requests to those.
 
 use crate::fleet::{self, CrashNote, FailureNote, LoadNote, Loads, WarmthNote};
 use crate::instance::{Instance, sleep};
@@ -223,7 +223,7 @@
         if notes.is_empty() {
             return;
         }
-        let all = self.beats.borrow().all();
+        let all = self.membership.borrow().all();
         for part in split(notes) {
             let datagram = fleet::encode(&fleet::Datagram::Loads(part));
             all.iter().for_each(|address| self.send(*address, &datagram, Flow::Loads));
@@ -232,8 +232,8 @@
 
     /// The instances that receive load observations and failures: those that serve callers.
     fn recipients(&self) -> Vec<Recipient> {
-        let beats = self.beats.borrow();
-        let serving = beats.peers().filter(|p| p.is_up() && p.vitals.serves_callers);
+        let membership = self.membership.borrow();
+        let serving = membership.peers().filter(|p| p.is_up() && p.vitals.serves_callers);
         let recipient = |peer: &Peer| Recipient {
             address: peer.member.peers,
             domain: peer.member.domain.clone(),
--- a/crates/galenapath-gateway/src/state.rs
+++ b/crates/galenapath-gateway/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::compression::CompressedConfig;
 use crate::instance::Instance;
-use crate::leaving::Leaving;
+use crate::leaving::LeavingServers;
 use galenapath_platform::{Item, KeyEvent};
 use galenapath_policy::LineKind;
 use galenapath_protocol::{BackendId, Micros};
@@ -31,7 +31,7 @@
     /// server list, so that no instance serves without knowing them.
     pub(crate) evacuations: Evacuations,
     /// Servers that are leaving.
-    pub(crate) leaving: Leaving,
+    pub(crate) leaving: LeavingServers,
     /// Until this time, entries that disappear are kept because they may reappear; set when the
     /// store recovers from an outage in which it answered no instance.
     hold_removals_until: Micros,
--- a/crates/galenapath-gateway/src/usage.rs
+++ b/crates/galenapath-gateway/src/usage.rs
@@ -1,8 +1,9 @@
 //! Network usage of an instance by purpose, apart from the callers' own bytes.
 //!
 //! Traffic between failure domains is billed, and the traffic between instances grows with the
-//! fleet and can go unnoticed. Each flow is counted by whether it leaves the own failure domain, so
-//! that one page of metrics, or the last usage line of each log, shows the cause of a bill.
+//! fleet and can go unnoticed. Each flow is counted by whether it leaves this instance's failure
+//! domain, so that one page of metrics, or the last usage line of each log, shows the cause of a
+//! bill.
 
 use crate::instance::{Instance, sleep};
 use crate::metrics::Metrics;
@@ -34,14 +35,14 @@
     /// The configuration and the list of backend servers, between instances.
     State,
     /// Load queries to backend servers.
-    Question,
+    Query,
     /// Requests to backend servers and their answers.
     Request,
 }
 
 impl Flow {
     const ALL: [Self; 6] =
-        [Self::Heartbeat, Self::Members, Self::Loads, Self::State, Self::Question, Self::Request];
+        [Self::Heartbeat, Self::Members, Self::Loads, Self::State, Self::Query, Self::Request];
 
     const fn as_str(self) -> &'static str {
         match self {
@@ -49,36 +50,36 @@
             Self::Members => "members",
             Self::Loads => "loads",
             Self::State => "state",
-            Self::Question => "question",
+            Self::Query => "question",
             Self::Request => "request",
         }
     }
 }
 
-/// Bytes by flow, inside the own failure domain and to or from others.
+/// Bytes by flow, inside this instance's failure domain (local) and to or from others (remote).
 #[derive(Default)]
 pub(crate) struct Usage {
-    own_domain: [Cell<u64>; Flow::ALL.len()],
-    other_domains: [Cell<u64>; Flow::ALL.len()],
+    local: [Cell<u64>; Flow::ALL.len()],
+    remote: [Cell<u64>; Flow::ALL.len()],
 }
 
 impl Usage {
     /// Counts `bytes` of `flow`.
-    pub(crate) fn count(&self, flow: Flow, is_own_domain: bool, bytes: u64) {
-        let side = if is_own_domain { &self.own_domain } else { &self.other_domains };
+    pub(crate) fn count(&self, flow: Flow, is_local: bool, bytes: u64) {
+        let side = if is_local { &self.local } else { &self.remote };
         let cell = &side[flow as usize];
         cell.set(cell.get() + bytes);
     }
 
     /// Counts a datagram with `len` bytes of content.
-    pub(crate) fn count_datagram(&self, flow: Flow, is_own_domain: bool, len: usize) {
-        self.count(flow, is_own_domain, (len + DATAGRAM_HEADERS) as u64);
+    pub(crate) fn count_datagram(&self, flow: Flow, is_local: bool, len: usize) {
+        self.count(flow, is_local, (len + DATAGRAM_HEADERS) as u64);
     }
 
     /// Updates the metrics.
     pub(crate) fn publish(&self, metrics: &Metrics) {
         for flow in Flow::ALL {
-            for (domain, side) in [("own", &self.own_domain), ("other", &self.other_domains)] {
+            for (domain, side) in [("own", &self.local), ("other", &self.remote)] {
                 let metric = metrics.bytes.with_label_values(&[flow.as_str(), domain]);
                 metric.inc_by(side[flow as usize].get() - metric.get());
             }
@@ -87,9 +88,9 @@
 
     fn line(&self) -> String {
         let of = |flow: Flow| {
-            let (own_domain, other_domains) =
-                (self.own_domain[flow as usize].get(), self.other_domains[flow as usize].get());
-            format!("{}:{own_domain}:{other_domains}", flow.as_str())
+            let (local, remote) =
+                (self.local[flow as usize].get(), self.remote[flow as usize].get());
+            format!("{}:{local}:{remote}", flow.as_str())
         };
         Flow::ALL.map(of).join(" ")
     }
@@ -103,8 +104,8 @@
     }
 }
 
-/// Logs the totals in one line: for each flow the bytes inside the own failure domain and to or
-/// from others, connections opened to backend servers by purpose, and calls to the store.
+/// Logs the totals in one line: for each flow the bytes inside this instance's failure domain and
+/// to or from others, connections opened to backend servers by purpose, and calls to the store.
 pub(crate) fn log_totals(instance: &Instance) {
     let bytes = instance.usage.line();
     let metrics = &instance.metrics;
--- a/crates/galenapath-gateway/src/watch.rs
+++ b/crates/galenapath-gateway/src/watch.rs
@@ -101,15 +101,15 @@
     fn reads_first(&self) -> bool {
         let instance = &self.instance;
         let is_known = instance.state.borrow().is_known();
-        let capacity = instance.vitals().capacity;
-        !is_known && reads_first(capacity, instance.beats.borrow().peers())
+        let capacity = instance.status().capacity;
+        !is_known && reads_first(capacity, instance.membership.borrow().peers())
     }
 
     fn role(&self) -> WatchRole {
         let instance = &self.instance;
-        let vitals = instance.vitals();
-        let beats = instance.beats.borrow();
-        watch_role(instance.incarnation, &instance.settings().domain, &vitals, beats.peers())
+        let status = instance.status();
+        let membership = instance.membership.borrow();
+        watch_role(instance.incarnation, &instance.settings().domain, &status, membership.peers())
     }
 
     async fn stand_by(&mut self) {
@@ -159,9 +159,9 @@
         self.record_result("watch", &watched);
         match watched {
             Ok(Watched::Events { events, position }) => {
-                let before = self.instance.vitals();
+                let before = self.instance.status();
                 self.instance.apply_events(&events, position.0);
-                let after = self.instance.vitals();
+                let after = self.instance.status();
                 if before != after && !events.is_empty() {
                     fleet::broadcast_heartbeat(&self.instance);
                 }
@@ -283,8 +283,8 @@
 
     /// Whether no other running instance reports that the store answers it.
     fn is_no_peer_answered(&self) -> bool {
-        let beats = self.instance.beats.borrow();
-        let mut up = beats.peers().filter(|peer| peer.is_up());
+        let membership = self.instance.membership.borrow();
+        let mut up = membership.peers().filter(|peer| peer.is_up());
         !up.any(|peer| peer.vitals.store == StoreHealth::Answering)
     }
 }
