--- a/crates/galenapath-gateway/src/fleet/pull.rs
+++ b/crates/galenapath-gateway/src/fleet/pull.rs
@@ -259,7 +259,7 @@
     }
 }
 
-/// Writes a frame; returns its size in bytes, without the length field.
+/// Writes a frame; returns its size in bytes, including the length field.
 async fn write<T: Serialize>(io: &mut TcpStream, message: &T) -> Result<usize> {
     let mut body = rmp_serde::to_vec(message).map_err(Error::other)?;
     let mut is_deflated = 0;
@@ -273,7 +273,7 @@
     io.write_all(frame).await.0
 }
 
-/// Reads a frame; returns the message and the size of the frame in bytes.
+/// Reads a frame; returns the message and the size of the frame, including the length field.
 async fn read<T: DeserializeOwned>(io: &mut TcpStream) -> Result<(T, usize)> {
     let (result, head) = io.read_exact(vec![0; 4]).await;
     result?;
