--- a/crates/galenapath-policy/benches/decisions/sim/mod.rs
+++ b/crates/galenapath-policy/benches/decisions/sim/mod.rs
@@ -357,7 +357,7 @@
             let entry = &mut self.entries[instance];
             let arrived = std::mem::take(&mut entry.arrived) as f64;
             entry.load_before = entry.gate.as_mut().map_or(arrived, Gate::take_load);
-            entry.slots_before = entry.balancer.home_slots(Micros(self.now));
+            entry.slots_before = entry.balancer.local_slots(Micros(self.now));
         }
         self.at(self.now + TICK, Event::Tick { instance });
         self.drain(instance);
--- a/crates/galenapath-policy/src/balance/balancer.rs
+++ b/crates/galenapath-policy/src/balance/balancer.rs
@@ -1,12 +1,12 @@
-//! The balancer of one service: the list of its backend servers and what is learned about them.
+//! The balancer of one service: its backend servers and the observed state of each.
 
 use super::baseline::Candidate;
 use super::config::BalancerConfig;
-use super::health::Sign;
+use super::handle::Slot;
+use super::health::HealthEvent;
 use super::latency::{Lateness, ServiceLatency};
-use super::path::Paths;
-use super::server::{Ended, Server};
-use super::slot::Slot;
+use super::path::PathLatencies;
+use super::server::{EndedRequest, Server};
 use super::spec::{BackendSpec, BackendState};
 use crate::Outcome;
 use crate::measure::ProbeBudget;
@@ -14,14 +14,15 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Weight of one report in the typical load.
-const TYPICAL_WEIGHT: f32 = 1.0 / 64.0;
+/// Weight of one report in the typical load, a moving average.
+const TYPICAL_LOAD_WEIGHT: f32 = 1.0 / 64.0;
 
-/// Average requests of other dispatchers on a server, over the servers whose reports are believed.
+/// Moving average of the requests of other dispatchers on a server, over the servers whose reports
+/// are trusted.
 #[derive(Debug, Default)]
-pub(super) struct TypicalOthers {
-    pub home: f32,
-    pub foreign: f32,
+pub(super) struct TypicalOthersLoad {
+    pub local: f32,
+    pub remote: f32,
 }
 
 /// Chooses a backend server of one service for each request of one instance.
@@ -30,29 +31,29 @@
     pub(super) cfg: BalancerConfig,
     domain: DomainId,
     pub(super) rng: SmallRng,
-    /// Places of servers; a place that is `None` is free.
+    /// Server table; an entry that is `None` is free.
     pub(super) servers: Vec<Option<Server>>,
-    /// Generation that the next server in each place gets.
+    /// Generation of the next server in each table entry.
     generations: Vec<u32>,
     by_id: FastMap<BackendId, usize>,
     pub(super) latency: ServiceLatency,
-    pub(super) paths: Paths,
-    /// Failure domains that hold servers.
+    pub(super) paths: PathLatencies,
+    /// Number of failure domains with servers of the service.
     pub(super) domains: usize,
-    pub(super) typical: TypicalOthers,
-    /// Requests that wait at this instance; `None` when the instance does not tell.
+    pub(super) typical_others: TypicalOthersLoad,
+    /// Requests waiting at this instance; `None` when `set_waiting` is not used.
     pub(super) waiting: Option<u32>,
-    /// Whether `set_backends` was called: later servers are new and ramp up.
-    listed: bool,
-    pub(super) turn: usize,
-    probe_turn: usize,
-    /// Instances among which the probes to a server are split; at least `cfg.dispatchers`.
+    /// Whether a non-empty list of servers was set. Servers that are added later ramp up.
+    has_list: bool,
+    pub(super) round_robin_position: usize,
+    next_probe_index: usize,
+    /// Instances that share the probe budget of a server; at least `cfg.dispatchers`.
     probe_sharers: u32,
     pub(super) candidates: Vec<Candidate>,
 }
 
 impl Balancer {
-    /// A balancer without servers, for an instance in failure domain `domain`.
+    /// Creates a balancer without servers, for an instance in failure domain `domain`.
     pub fn new(cfg: BalancerConfig, domain: DomainId, seed: u64) -> Self {
         let probe_sharers = cfg.dispatchers;
         Self {
@@ -63,31 +64,31 @@
             generations: Vec::new(),
             by_id: FastMap::default(),
             latency: ServiceLatency::default(),
-            paths: Paths::default(),
+            paths: PathLatencies::default(),
             domains: 0,
-            typical: TypicalOthers::default(),
+            typical_others: TypicalOthersLoad::default(),
             waiting: None,
-            listed: false,
-            turn: 0,
-            probe_turn: 0,
+            has_list: false,
+            round_robin_position: 0,
+            next_probe_index: 0,
             probe_sharers,
             candidates: Vec::new(),
         }
     }
 
-    /// Takes a new list of servers. Servers that stay keep their state, and one that is known to
-    /// be leaving stays so whatever the list says.
+    /// Replaces the list of servers. Servers in both lists keep their state, and a server that is
+    /// known to be leaving remains so even if the list has it as live.
     pub fn set_backends(&mut self, now: Micros, specs: &[BackendSpec]) {
         let listed: FastSet<&BackendId> = specs.iter().map(|s| &s.id).collect();
-        for place in &mut self.servers {
-            if let Some(gone) = place.take_if(|s| !listed.contains(&s.id)) {
-                self.by_id.remove(&gone.id);
+        for entry in &mut self.servers {
+            if let Some(removed) = entry.take_if(|s| !listed.contains(&s.id)) {
+                self.by_id.remove(&removed.id);
             }
         }
         for spec in specs {
             self.set_backend(now, spec);
         }
-        self.listed |= !specs.is_empty();
+        self.has_list |= !specs.is_empty();
         self.domains = specs.iter().map(|s| &s.domain).collect::<FastSet<_>>().len();
     }
 
@@ -96,15 +97,15 @@
         else {
             return;
         };
-        let home = spec.domain == self.domain;
+        let is_local = spec.domain == self.domain;
         if let Some(server) = &mut self.servers[index] {
-            server.home = home;
+            server.is_local = is_local;
             server.connection_share = spec.connection_share;
             server.leaving |= spec.state == BackendState::Leaving;
         }
     }
 
-    /// Returns the place of the new server, `None` when the table is full.
+    /// Adds a server and returns its index; `None` when the table is full.
     fn add(&mut self, now: Micros, id: &BackendId) -> Option<usize> {
         let index = match self.servers.iter().position(Option::is_none) {
             Some(free) => free,
@@ -119,14 +120,14 @@
         let generation = self.generations[index];
         let mut server = Server::new(id.clone(), generation, self.cfg.assumed_slots, probes);
         server.health.dispatchers = self.cfg.dispatchers;
-        server.ramp_from = self.listed.then_some(now);
+        server.ramp_started_at = self.has_list.then_some(now);
         self.generations[index] = Slot::next_generation(generation);
         self.servers[index] = Some(server);
         self.by_id.insert(id.clone(), index);
         Some(index)
     }
 
-    /// Tells how many instances dispatch for the service, this one included.
+    /// Sets the number of instances that dispatch for the service, including this one.
     pub fn set_dispatchers(&mut self, now: Micros, dispatchers: u32) {
         self.cfg.dispatchers = dispatchers.max(1);
         for server in self.servers.iter_mut().flatten() {
@@ -135,9 +136,9 @@
         self.set_probe_sharers(now, self.probe_sharers);
     }
 
-    /// Tells how many instances may probe the servers, this one included: all that may send them
-    /// requests, also those that only serve what came to them by an old address answer. Never
-    /// fewer than dispatch; starts at the configured number of dispatchers.
+    /// Sets the number of instances that may probe the servers, including this one. These are all
+    /// instances that may send them requests, even those that only serve callers with an outdated
+    /// address. It is never lower than the number of dispatchers, which is its initial value.
     pub fn set_probe_sharers(&mut self, now: Micros, sharers: u32) {
         self.probe_sharers = sharers.max(self.cfg.dispatchers);
         for server in self.servers.iter_mut().flatten() {
@@ -145,109 +146,116 @@
         }
     }
 
-    /// Tells how many requests wait at this instance. With it, requests wait for a server of the
-    /// own failure domain as long as that is expected to cost less than crossing to another.
+    /// Sets the number of requests waiting at this instance. Once it is set, requests wait for a
+    /// local server as long as the expected wait costs less than a cross-domain send.
     pub fn set_waiting(&mut self, waiting: u32) {
         self.waiting = Some(waiting);
     }
 
-    /// The name of a server, `None` when the handle is out of date.
-    pub fn backend(&self, slot: Slot) -> Option<&BackendId> {
-        let server = self.servers.get(slot.index())?.as_ref()?;
-        (server.generation == slot.generation()).then_some(&server.id)
+    /// Returns the name of a server; `None` when the handle is no longer valid.
+    pub fn backend(&self, handle: Slot) -> Option<&BackendId> {
+        let server = self.servers.get(handle.index())?.as_ref()?;
+        (server.generation == handle.generation()).then_some(&server.id)
     }
 
-    /// A request is sent to the server.
-    pub fn start(&mut self, now: Micros, slot: Slot) {
-        if let Some(server) = self.server_mut(slot) {
+    /// Records that a request is sent to the server.
+    pub fn start(&mut self, now: Micros, handle: Slot) {
+        if let Some(server) = self.server_mut(handle) {
             server.start(now);
         }
     }
 
-    /// A request ended, `latency` after it started.
-    pub fn finish(&mut self, now: Micros, slot: Slot, outcome: Outcome, latency: Micros) {
+    /// Records that a request ended, `latency` after it started.
+    pub fn finish(&mut self, now: Micros, handle: Slot, outcome: Outcome, latency: Micros) {
         let limits = self.latency.limits();
         let mean = self.latency.mean();
-        let Some(server) = self.server_mut(slot) else { return };
-        let Some(Ended { started, counted }) = server.finish(now - latency) else { return };
+        let Some(server) = self.server_mut(handle) else { return };
+        let Some(EndedRequest { started, counted }) = server.finish(now - latency) else { return };
         match outcome {
             Outcome::Answered => {
-                let lateness = limits.map_or(Lateness::InTime, |l| l.lateness(latency));
-                server.health.note(now, started, Sign::Ended { counted, lateness });
-                server.others.answered(latency, mean, server.slots);
-                server.answered(now);
-                let home = server.home;
-                self.paths.add(home, latency);
+                let lateness = limits.map_or(Lateness::OnTime, |l| l.lateness(latency));
+                server.health.record(now, started, HealthEvent::Ended { counted, lateness });
+                server.others.record_answer(latency, mean, server.slots);
+                server.record_answer(now);
+                let is_local = server.is_local;
+                self.paths.add(is_local, latency);
                 self.latency.add(latency);
             }
             Outcome::Shed => {
-                server.refused(now);
-                server.health.note_nothing(now, started);
+                server.record_rejection(now);
+                server.health.record_inconclusive(now, started);
             }
             Outcome::FastFailure | Outcome::Failure => {
-                server.health.note(now, started, Sign::Failed);
+                server.health.record(now, started, HealthEvent::Failed);
             }
             Outcome::TimedOut => {
                 let lateness = Lateness::VeryLate;
-                server.health.note(now, started, Sign::Ended { counted, lateness });
+                server.health.record(now, started, HealthEvent::Ended { counted, lateness });
             }
-            Outcome::Cancelled => server.health.note_nothing(now, started),
+            Outcome::Cancelled => server.health.record_inconclusive(now, started),
         }
     }
 
-    /// Takes the load report that came with an answer or a probe. For an answer, call
-    /// [`Self::finish`] first: the report no longer counts its request.
-    pub fn report(&mut self, now: Micros, slot: Slot, report: LoadReport) {
-        let Some(home) = self.server_mut(slot).map(|s| s.home) else { return };
-        let written = now - self.paths.round_trip(home);
-        let Some(server) = self.server_mut(slot) else { return };
-        server.report(now, written, report);
-        if server.others.is_believed() {
+    /// Records the load report that came with an answer or a probe. For an answer, call
+    /// [`Self::finish`] first, because the report no longer counts the answered request.
+    pub fn report(&mut self, now: Micros, handle: Slot, report: LoadReport) {
+        let Some(is_local) = self.server_mut(handle).map(|s| s.is_local) else { return };
+        let written_at = now - self.paths.round_trip(is_local);
+        let Some(server) = self.server_mut(handle) else { return };
+        server.record_report(now, written_at, report);
+        if server.others.is_trusted() {
             let average = server.others.average();
-            let typical = if home { &mut self.typical.home } else { &mut self.typical.foreign };
-            *typical += TYPICAL_WEIGHT * (average - *typical);
+            let typical_others = if is_local {
+                &mut self.typical_others.local
+            } else {
+                &mut self.typical_others.remote
+            };
+            *typical_others += TYPICAL_LOAD_WEIGHT * (average - *typical_others);
         }
     }
 
-    /// The server is leaving; it is never chosen again.
-    pub fn mark_leaving(&mut self, slot: Slot) {
-        if let Some(server) = self.server_mut(slot) {
+    /// Marks the server as leaving; it is never chosen again.
+    pub fn mark_leaving(&mut self, handle: Slot) {
+        if let Some(server) = self.server_mut(handle) {
             server.leaving = true;
         }
     }
 
-    /// A server to probe now, whose probe is taken out of the budget; `None` when every server is
-    /// fresh or out of budget.
+    /// Returns a server to probe now and charges the probe to its budget; `None` when no server is
+    /// stale and within its budget.
     pub fn next_probe(&mut self, now: Micros) -> Option<Slot> {
-        let places = self.servers.len();
-        for step in 0..places {
-            let index = (self.probe_turn + step) % places;
-            let fresh_for = self.cfg.fresh_for;
+        let entries = self.servers.len();
+        for step in 0..entries {
+            let index = (self.next_probe_index + step) % entries;
+            let stale_after = self.cfg.stale_after;
             let Some(server) = &mut self.servers[index] else { continue };
-            if server.leaving || now - server.fresh_at < fresh_for || !server.probes.take(now) {
+            if server.leaving
+                || now - server.last_contact_at < stale_after
+                || !server.probes.take(now)
+            {
                 continue;
             }
-            self.probe_turn = index + 1;
-            return self.slot(index);
+            self.next_probe_index = index + 1;
+            return self.handle(index);
         }
         None
     }
 
-    /// Counts requests in flight that have become late.
-    pub(super) fn note_late(&mut self, now: Micros) {
+    /// Updates the health of the servers with requests in flight that have become late.
+    pub(super) fn record_late_requests(&mut self, now: Micros) {
         let Some(limits) = self.latency.limits() else { return };
         for server in self.servers.iter_mut().flatten() {
-            server.note_late(now, &limits);
+            server.record_late_requests(now, &limits);
         }
     }
 
-    pub(super) fn slot(&self, index: usize) -> Option<Slot> {
+    pub(super) fn handle(&self, index: usize) -> Option<Slot> {
         let server = self.servers.get(index)?.as_ref()?;
         Some(Slot::new(index, server.generation))
     }
 
-    fn server_mut(&mut self, slot: Slot) -> Option<&mut Server> {
-        let server = self.servers.get_mut(slot.index())?.as_mut()?;
-        (server.generation == slot.generation()).then_some(server)
+    fn server_mut(&mut self, handle: Slot) -> Option<&mut Server> {
+        let server = self.servers.get_mut(handle.index())?.as_mut()?;
+        (server.generation == handle.generation()).then_some(server)
     }
 }
--- a/crates/galenapath-policy/src/balance/baseline.rs
+++ b/crates/galenapath-policy/src/balance/baseline.rs
@@ -1,19 +1,18 @@
-//! The choices that galenapath's is compared with. They know the instance's own requests in flight
-//! and nothing else.
+//! Baseline policies for comparison. They use only this instance's own requests in flight.
 
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-/// A server that a baseline may choose: its place in the table and its requests in flight.
+/// A server that a baseline may choose.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
-    /// Place in the balancer's table.
+    /// Index in the balancer's server table.
     pub index: usize,
     /// Requests of this instance in flight.
     pub in_flight: u32,
 }
 
-/// Any candidate, evenly.
+/// Chooses a candidate uniformly at random.
 pub(super) fn random(candidates: &[Candidate], rng: &mut SmallRng) -> Option<usize> {
     if candidates.is_empty() {
         return None;
@@ -21,16 +20,16 @@
     Some(candidates[rng.random_range(0..candidates.len())].index)
 }
 
-/// The candidate that follows the one chosen last; `turn` counts the choices.
-pub(super) fn round_robin(candidates: &[Candidate], turn: &mut usize) -> Option<usize> {
+/// Chooses the candidate after the previous choice, whose position in the list is `position`.
+pub(super) fn round_robin(candidates: &[Candidate], position: &mut usize) -> Option<usize> {
     if candidates.is_empty() {
         return None;
     }
-    *turn = (*turn + 1) % candidates.len();
-    Some(candidates[*turn].index)
+    *position = (*position + 1) % candidates.len();
+    Some(candidates[*position].index)
 }
 
-/// The candidate with the fewest requests in flight, ties broken at random.
+/// Chooses the candidate with the fewest requests in flight, breaking ties at random.
 pub(super) fn least_in_flight(candidates: &[Candidate], rng: &mut SmallRng) -> Option<usize> {
     let least = candidates.iter().map(|c| c.in_flight).min()?;
     let ties = candidates.iter().filter(|c| c.in_flight == least);
@@ -38,7 +37,7 @@
     ties.skip(skip).map(|c| c.index).next()
 }
 
-/// The better of two different random candidates.
+/// Of two distinct random candidates, chooses the one with fewer requests in flight.
 pub(super) fn power_of_two(candidates: &[Candidate], rng: &mut SmallRng) -> Option<usize> {
     if candidates.len() < 2 {
         return candidates.first().map(|c| c.index);
--- a/crates/galenapath-policy/src/balance/config.rs
+++ b/crates/galenapath-policy/src/balance/config.rs
@@ -1,41 +1,42 @@
-//! Thresholds of the choice.
+//! Configuration of the balancer.
 
 use galenapath_protocol::Micros;
 
-/// How a balancer chooses.
+/// How a balancer chooses a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ChoicePolicy {
-    /// The policy that ships; the others are baselines for comparison.
+    /// The production policy; the others are baselines for comparison.
     #[default]
     Galenapath,
-    /// Any server, evenly.
+    /// A server at random, with equal probability.
     Random,
-    /// One server after the other.
+    /// Each server in turn.
     RoundRobin,
     /// The server with the fewest requests of this instance in flight.
     LeastInFlight,
-    /// The better of two random servers, by requests of this instance in flight.
+    /// Of two random servers, the one with fewer requests of this instance in flight.
     PowerOfTwo,
 }
 
-/// Thresholds of a [`Balancer`](crate::Balancer).
+/// Configuration of a [`Balancer`](crate::Balancer).
 #[derive(Clone, Debug)]
 pub struct BalancerConfig {
     /// How servers are chosen.
     pub policy: ChoicePolicy,
-    /// Instances that dispatch for the service, this one included; at least one. Those of a failure
-    /// domain share its slots, and all share the probe budget, so that a number too high is safe
-    /// and one too low is not. The default is every instance of today's deployments.
+    /// Instances that dispatch for the service, including this one; at least one. The instances of
+    /// a failure domain share its slots and all of them share the probe budget, so too high a
+    /// number is safe and too low a number is not. The default covers deployments of up to 16
+    /// instances.
     pub dispatchers: u32,
-    /// Slots that a server is taken to have before its first report.
+    /// Slots assumed for a server before its first report.
     pub assumed_slots: u32,
-    /// Probes per second that a server may receive from all dispatchers together: far below
-    /// the part of its slots that measuring may cost.
+    /// Probes per second that a server may receive from all dispatchers together: far below the
+    /// share of its slots that load measurement may use.
     pub probe_rate: f64,
-    /// Age from which a server's last report or answer no longer counts as fresh: ten to twenty
-    /// service times of a lookup.
-    pub fresh_for: Micros,
-    /// Time over which a new server's share of work grows to the full one.
+    /// Age of the last report or answer from which a server is probed: ten to twenty service times
+    /// of a lookup.
+    pub stale_after: Micros,
+    /// Time over which a new server ramps up to its full share of work.
     pub ramp: Micros,
 }
 
@@ -46,7 +47,7 @@
             dispatchers: 16,
             assumed_slots: 6,
             probe_rate: 10.0,
-            fresh_for: Micros::from_millis(100),
+            stale_after: Micros::from_millis(100),
             ramp: Micros::from_secs(1),
         }
     }
--- a/crates/galenapath-policy/src/balance/health.rs
+++ b/crates/galenapath-policy/src/balance/health.rs
@@ -1,65 +1,68 @@
-//! Which backend servers are slow or failing.
+//! Detection of slow and failing backend servers.
 //!
-//! Load pattern: one server among many turns ten times slower, or answers errors at once. By
-//! completed latency alone a straggler is seen only after its first slow answers, and a server that
-//! fails fast looks idle and draws all the work. So a request counts against its server as soon as
-//! it is *older* than most requests of the service take, and a fast failure counts as a fault and
-//! never as low latency.
+//! Load pattern: one server among many becomes ten times slower, or returns errors immediately.
+//! With completed latencies alone, a straggler is detected only after its first slow answers, and a
+//! server that fails fast appears idle and attracts all the work. A request therefore counts
+//! against its server as soon as its *age* exceeds the latency of most requests of the service, and
+//! a fast failure counts as a failure and never as low latency.
 //!
-//! The test is a CUSUM of log-likelihood ratios, "ten times slower" against "as the service", for
-//! work of exponential length: 0.8 of a straggler's requests pass the service's 90th percentile and
-//! 0.63 the 99th, 0.16 end between them, 0.2 end before. A request that passed the 90th percentile
-//! and then ends takes back most of what it had added, which keeps long requests from condemning
-//! their server.
+//! The test is a CUSUM of log-likelihood ratios for the hypothesis "ten times slower than the
+//! service" against "as fast as the service", assuming exponentially distributed work. Of a
+//! straggler's requests, 0.8 exceed the service's 90th percentile and 0.63 the 99th, 0.16 end
+//! between the two and 0.2 end before the 90th. A request that exceeds the 90th percentile and then
+//! ends takes back most of what it added to the score, so a few long requests do not get a server
+//! ejected.
 
 use super::latency::Lateness;
 use galenapath_protocol::Micros;
 
 /// ln(0.2 / 0.9)
-const IN_TIME: f32 = -1.50;
+const ENDED_ON_TIME: f32 = -1.50;
 /// ln(0.8 / 0.1)
 const LATE: f32 = 2.08;
 /// ln(0.16 / 0.09)
 const ENDED_LATE: f32 = 0.58;
 /// ln(0.63 / 0.01)
 const VERY_LATE: f32 = 4.14;
-/// A failure; three in a row eject.
+/// Score of a failure; three in a row eject the server.
 const FAILED: f32 = 3.0;
-/// Score from which a server gets work only when no other has a free slot: two late requests.
+/// Score from which a server is a last resort: two late requests.
 const SUSPECT_SCORE: f32 = 4.0;
 /// Score from which a server is ejected: two very late requests.
-const EJECT_SCORE: f32 = 8.0;
-/// Half-life of the score of a server that has nothing in flight to move it.
+const EJECTION_SCORE: f32 = 8.0;
+/// Half-life of the score of a server without requests in flight, which would otherwise not change.
 const IDLE_HALF_LIFE: Micros = Micros::from_millis(50);
-/// Time to the first trial of an ejected server, for each dispatcher of the service; doubles with
-/// each that goes wrong. Trials go wrong for their callers, so that all dispatchers together make
-/// about as many, however many they are: three make one each after 100 ms.
-const FIRST_TRIAL: Micros = Micros::from_millis(33);
-const LONGEST_TRIAL_WAIT: Micros = Micros::from_millis(333);
-/// Trials in time, one after the other, that bring a server back.
-const TRIALS_TO_RETURN: u32 = 3;
-
-/// How far a server may be used.
+/// Time until the first trial of an ejected server, multiplied by the number of dispatchers of the
+/// service; doubles with each failed trial. A failed trial is a failed request of a caller, so the
+/// total rate of trials does not depend on the number of dispatchers: with three of them, each
+/// sends its first trial after 100 ms.
+const INITIAL_TRIAL_INTERVAL: Micros = Micros::from_millis(33);
+/// Maximum trial interval, also multiplied by the number of dispatchers.
+const MAX_TRIAL_INTERVAL: Micros = Micros::from_millis(333);
+/// Consecutive trials answered on time that end an ejection.
+const SUCCESSFUL_TRIALS_TO_READMIT: u32 = 3;
+
+/// How a server may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Standing {
+pub(super) enum HealthStatus {
     Healthy,
-    /// Slow or failing lately: last in the order.
+    /// Slow or failing: chosen only when no healthy server is available.
     Suspect,
-    /// Gets nothing but single trials.
+    /// Receives only single trial requests.
     Ejected,
-    /// Ejected, and its next trial is due.
+    /// Ejected, with the next trial due.
     TrialDue,
 }
 
-/// What became of a request, as far as it is known.
+/// An event of a request that affects its server's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Sign {
-    /// In flight, and has just become this late.
-    Became {
+pub(super) enum HealthEvent {
+    /// The request is in flight and its lateness has increased.
+    BecameLate {
         before: Lateness,
         lateness: Lateness,
     },
-    /// Answered; the lateness is what was counted while it was in flight.
+    /// The request was answered; `counted` is the lateness already included in the score.
     Ended {
         counted: Lateness,
         lateness: Lateness,
@@ -67,45 +70,47 @@
     Failed,
 }
 
-impl Sign {
-    /// Change of the score.
-    fn step(self) -> f32 {
+impl HealthEvent {
+    /// Change of the score by this event.
+    fn score_delta(self) -> f32 {
         match self {
-            Self::Became { before, lateness } => in_flight(lateness) - in_flight(before),
-            Self::Ended { counted, lateness } => ended(lateness) - in_flight(counted),
+            Self::BecameLate { before, lateness } => {
+                in_flight_score(lateness) - in_flight_score(before)
+            }
+            Self::Ended { counted, lateness } => ended_score(lateness) - in_flight_score(counted),
             Self::Failed => FAILED,
         }
     }
 
-    fn is_good(self) -> bool {
-        matches!(self, Self::Ended { lateness: Lateness::InTime, .. })
+    fn is_success(self) -> bool {
+        matches!(self, Self::Ended { lateness: Lateness::OnTime, .. })
     }
 }
 
-fn in_flight(lateness: Lateness) -> f32 {
+fn in_flight_score(lateness: Lateness) -> f32 {
     match lateness {
-        Lateness::InTime => 0.0,
+        Lateness::OnTime => 0.0,
         Lateness::Late => LATE,
         Lateness::VeryLate => VERY_LATE,
     }
 }
 
-fn ended(lateness: Lateness) -> f32 {
+fn ended_score(lateness: Lateness) -> f32 {
     match lateness {
-        Lateness::InTime => IN_TIME,
+        Lateness::OnTime => ENDED_ON_TIME,
         Lateness::Late => ENDED_LATE,
         Lateness::VeryLate => VERY_LATE,
     }
 }
 
-/// Score of one server.
+/// Health of one server.
 #[derive(Debug, Default)]
 pub(super) struct Health {
-    /// Never below zero, never above `EJECT_SCORE`.
+    /// Between zero and `EJECTION_SCORE`.
     score: f32,
     /// When the score last changed.
     changed_at: Micros,
-    /// Dispatchers of the service, which share the trials.
+    /// Number of dispatchers of the service; trial intervals are proportional to it.
     pub dispatchers: u32,
     ejection: Option<Ejection>,
 }
@@ -113,31 +118,31 @@
 #[derive(Debug)]
 struct Ejection {
     next_trial: Micros,
-    wait: Micros,
-    good_trials: u32,
-    /// The trial in flight started then; signs of older requests say nothing new.
-    trial_from: Option<Micros>,
+    interval: Micros,
+    successful_trials: u32,
+    /// Start of the trial in flight. Events of requests that started earlier are ignored.
+    trial_started_at: Option<Micros>,
 }
 
 impl Health {
-    /// A request that started at `started` ended without telling anything: when it was a trial,
-    /// the next one is due after the same wait.
-    pub fn note_nothing(&mut self, now: Micros, started: Micros) {
+    /// Records that a request that started at `started` ended without evidence of the server's
+    /// health. If it was a trial, the next one is due after the same interval.
+    pub fn record_inconclusive(&mut self, now: Micros, started: Micros) {
         if let Some(ejection) = &mut self.ejection
-            && ejection.trial_from.is_some_and(|from| started >= from)
+            && ejection.trial_started_at.is_some_and(|trial_started| started >= trial_started)
         {
-            ejection.trial_from = None;
-            ejection.next_trial = now + ejection.wait;
+            ejection.trial_started_at = None;
+            ejection.next_trial = now + ejection.interval;
         }
     }
 
-    /// Takes a sign of a request that started at `started`.
-    pub fn note(&mut self, now: Micros, started: Micros, sign: Sign) {
-        let longest = self.for_all(LONGEST_TRIAL_WAIT);
+    /// Records an event of a request that started at `started`.
+    pub fn record(&mut self, now: Micros, started: Micros, event: HealthEvent) {
+        let max_interval = self.scale_by_dispatchers(MAX_TRIAL_INTERVAL);
         match &mut self.ejection {
-            None => self.note_score(now, sign),
+            None => self.update_score(now, event),
             Some(ejection) => {
-                if ejection.note_trial(now, started, sign, longest) {
+                if ejection.record_trial(now, started, event, max_interval) {
                     self.ejection = None;
                     self.score = 0.0;
                 }
@@ -145,66 +150,76 @@
         }
     }
 
-    fn for_all(&self, wait: Micros) -> Micros {
-        Micros(wait.0 * u64::from(self.dispatchers.max(1)))
+    fn scale_by_dispatchers(&self, interval: Micros) -> Micros {
+        Micros(interval.0 * u64::from(self.dispatchers.max(1)))
     }
 
-    fn note_score(&mut self, now: Micros, sign: Sign) {
-        self.score = (self.score + sign.step()).clamp(0.0, EJECT_SCORE);
+    fn update_score(&mut self, now: Micros, event: HealthEvent) {
+        self.score = (self.score + event.score_delta()).clamp(0.0, EJECTION_SCORE);
         self.changed_at = now;
-        if self.score >= EJECT_SCORE {
-            let wait = self.for_all(FIRST_TRIAL);
-            self.ejection =
-                Some(Ejection { next_trial: now + wait, wait, good_trials: 0, trial_from: None });
+        if self.score >= EJECTION_SCORE {
+            let interval = self.scale_by_dispatchers(INITIAL_TRIAL_INTERVAL);
+            self.ejection = Some(Ejection {
+                next_trial: now + interval,
+                interval,
+                successful_trials: 0,
+                trial_started_at: None,
+            });
         }
     }
 
-    /// `idle` tells that no request of this instance is in flight on the server.
-    pub fn standing(&self, now: Micros, idle: bool) -> Standing {
+    /// Returns the status. `is_idle`: this instance has no request in flight on the server.
+    pub fn status(&self, now: Micros, is_idle: bool) -> HealthStatus {
         match &self.ejection {
-            Some(ejection) if ejection.trial_from.is_none() && now >= ejection.next_trial => {
-                Standing::TrialDue
+            Some(ejection) if ejection.trial_started_at.is_none() && now >= ejection.next_trial => {
+                HealthStatus::TrialDue
             }
-            Some(_) => Standing::Ejected,
-            None if self.score_at(now, idle) >= SUSPECT_SCORE => Standing::Suspect,
-            None => Standing::Healthy,
+            Some(_) => HealthStatus::Ejected,
+            None if self.score_at(now, is_idle) >= SUSPECT_SCORE => HealthStatus::Suspect,
+            None => HealthStatus::Healthy,
         }
     }
 
-    fn score_at(&self, now: Micros, idle: bool) -> f32 {
-        if !idle || self.score < SUSPECT_SCORE {
+    fn score_at(&self, now: Micros, is_idle: bool) -> f32 {
+        if !is_idle || self.score < SUSPECT_SCORE {
             return self.score;
         }
         let half_lives = (now - self.changed_at).0 as f32 / IDLE_HALF_LIFE.0 as f32;
         self.score * (-half_lives).exp2()
     }
 
-    /// A request was sent to the server; when its next trial was due, this is it.
-    pub fn started(&mut self, now: Micros) {
+    /// Records that a request is sent to the server. It becomes the trial if one is due.
+    pub fn record_start(&mut self, now: Micros) {
         if let Some(ejection) = &mut self.ejection
-            && ejection.trial_from.is_none()
+            && ejection.trial_started_at.is_none()
             && now >= ejection.next_trial
         {
-            ejection.trial_from = Some(now);
+            ejection.trial_started_at = Some(now);
         }
     }
 }
 
 impl Ejection {
-    /// Returns whether the server has earned its return.
-    fn note_trial(&mut self, now: Micros, started: Micros, sign: Sign, longest: Micros) -> bool {
-        if self.trial_from.is_none_or(|from| started < from) {
+    /// Records an event of a trial; returns whether the ejection ends.
+    fn record_trial(
+        &mut self,
+        now: Micros,
+        started: Micros,
+        event: HealthEvent,
+        max_interval: Micros,
+    ) -> bool {
+        if self.trial_started_at.is_none_or(|trial_started| started < trial_started) {
             return false;
         }
-        self.trial_from = None;
-        if sign.is_good() {
-            self.good_trials += 1;
+        self.trial_started_at = None;
+        if event.is_success() {
+            self.successful_trials += 1;
             self.next_trial = now;
-            return self.good_trials >= TRIALS_TO_RETURN;
+            return self.successful_trials >= SUCCESSFUL_TRIALS_TO_READMIT;
         }
-        self.good_trials = 0;
-        self.wait = Micros((self.wait.0 * 2).min(longest.0));
-        self.next_trial = now + self.wait;
+        self.successful_trials = 0;
+        self.interval = Micros((self.interval.0 * 2).min(max_interval.0));
+        self.next_trial = now + self.interval;
         false
     }
 }
--- a/crates/galenapath-policy/src/balance/latency.rs
+++ b/crates/galenapath-policy/src/balance/latency.rs
@@ -1,24 +1,25 @@
-//! Running estimates of a service's latency, in constant memory.
+//! Streaming estimates of a service's latency, in constant memory.
 
 use galenapath_protocol::Micros;
 
-/// Relative move of a percentile for one sample.
+/// Relative step of a percentile estimate for one sample.
 const PERCENTILE_STEP: f32 = 0.05;
-const MEAN_SAMPLES: f32 = 64.0;
-/// Samples before requests are judged; the percentiles start from the mean of these, as for work of
-/// exponential length.
-const LEAST_SAMPLES: f32 = 32.0;
-const FIRST_P90: f32 = 2.3;
-const FIRST_P99: f32 = 4.6;
-/// Least limits as multiples of the mean. With work of constant length the percentiles lie so close
-/// to the mean that the way through the network alone would cross them.
-const LEAST_LATE: f32 = 2.0;
-const LEAST_VERY_LATE: f32 = 4.0;
+/// Samples after which the mean becomes a moving average.
+const MAX_MEAN_SAMPLES: f32 = 64.0;
+/// Samples from whose mean the percentiles are initialized, assuming exponentially distributed
+/// work.
+const MIN_SAMPLES: f32 = 32.0;
+const INITIAL_P90_FACTOR: f32 = 2.3;
+const INITIAL_P99_FACTOR: f32 = 4.6;
+/// Minimum limits as multiples of the mean. With work of constant length the percentiles are so
+/// close to the mean that network delay alone would exceed them.
+const MIN_LATE_FACTOR: f32 = 2.0;
+const MIN_VERY_LATE_FACTOR: f32 = 4.0;
 
-/// How long a request took, or has been taking, beside the others of its service.
+/// Latency, or age while in flight, of a request relative to the other requests of its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Lateness {
-    InTime,
+    OnTime,
     /// Beyond the 90th percentile.
     Late,
     /// Beyond the 99th percentile.
@@ -33,13 +34,14 @@
 }
 
 impl LateLimits {
+    /// Classifies a latency or an age.
     pub fn lateness(&self, latency: Micros) -> Lateness {
         if latency > self.very_late {
             Lateness::VeryLate
         } else if latency > self.late {
             Lateness::Late
         } else {
-            Lateness::InTime
+            Lateness::OnTime
         }
     }
 }
@@ -48,17 +50,17 @@
 #[derive(Debug, Default)]
 pub(super) struct ServiceLatency {
     mean: f32,
-    /// Counts up to `MEAN_SAMPLES`.
+    /// Number of samples, at most `MAX_MEAN_SAMPLES`.
     samples: f32,
     p90: Percentile<10>,
     p99: Percentile<1>,
 }
 
 impl ServiceLatency {
-    /// `None` while there are too few samples.
+    /// Limits for late requests; `None` before the first sample.
     pub fn limits(&self) -> Option<LateLimits> {
-        let late = self.p90.value.max(LEAST_LATE * self.mean);
-        let very_late = self.p99.value.max(LEAST_VERY_LATE * self.mean);
+        let late = self.p90.value.max(MIN_LATE_FACTOR * self.mean);
+        let very_late = self.p99.value.max(MIN_VERY_LATE_FACTOR * self.mean);
         (self.mean > 0.0).then_some(LateLimits {
             late: Micros(late as u64),
             very_late: Micros(very_late as u64),
@@ -70,14 +72,14 @@
         self.mean
     }
 
-    /// Takes the latency of a request that ended.
+    /// Adds the latency of a request that ended.
     pub fn add(&mut self, latency: Micros) {
         let x = latency.0.max(1) as f32;
-        self.samples = (self.samples + 1.0).min(MEAN_SAMPLES);
+        self.samples = (self.samples + 1.0).min(MAX_MEAN_SAMPLES);
         self.mean += (x - self.mean) / self.samples;
-        if self.samples <= LEAST_SAMPLES {
-            self.p90.value = FIRST_P90 * self.mean;
-            self.p99.value = FIRST_P99 * self.mean;
+        if self.samples <= MIN_SAMPLES {
+            self.p90.value = INITIAL_P90_FACTOR * self.mean;
+            self.p99.value = INITIAL_P99_FACTOR * self.mean;
             return;
         }
         self.p90.add(x);
@@ -85,10 +87,10 @@
     }
 }
 
-/// A value that `BEYOND` of a hundred samples exceed.
+/// Estimate of the value that `BEYOND` percent of the samples exceed.
 ///
-/// It moves up by a fixed part of itself for each sample beyond it and down for each one within,
-/// so that one enormous sample cannot move it further than a slightly late one.
+/// A sample above the estimate raises it by a fixed fraction and a sample below lowers it, so an
+/// extreme outlier has no more effect than a sample just above the estimate.
 #[derive(Debug, Default)]
 struct Percentile<const BEYOND: u32> {
     value: f32,
--- a/crates/galenapath-policy/src/balance/load.rs
+++ b/crates/galenapath-policy/src/balance/load.rs
@@ -1,25 +1,28 @@
-//! How many of a backend server's slots are taken.
+//! Estimate of how many of a backend server's slots are in use.
 //!
-//! Load pattern: several dispatchers share a server's few slots, and every report is out of date.
-//! With the report alone, all dispatchers send to the server that looked idle last; with the own
-//! requests alone, a dispatcher cannot see that the others have filled the slots. So a server's
-//! load is the own requests in flight, which are exact, plus an estimate of the others' that fades
-//! from the last report to their average. Reports that contradict what the instance knows of its
-//! own requests are no longer used.
+//! Load pattern: several dispatchers share a server's few slots, and every report is out of date on
+//! arrival. Based on reports alone, all dispatchers send to the server that last appeared idle;
+//! based on its own requests alone, a dispatcher does not see that others have filled the slots.
+//!
+//! A server's load is therefore the number of this instance's requests in flight, which is exact,
+//! plus an estimate of the other dispatchers' requests, which decays from the last report to their
+//! moving average. Reports of a server that repeatedly contradict this instance's own requests are
+//! ignored.
 
 use galenapath_protocol::{LoadReport, Micros};
 
-/// Weight of one report in the average of the others' requests.
+/// Weight of one report in the moving average of the other dispatchers' requests.
 const OTHERS_WEIGHT: f32 = 1.0 / 16.0;
-/// Age at which a report says no more than the average: by then most of the requests that it
-/// counted have ended.
-const REPORT_FADES_IN: Micros = Micros::from_millis(10);
-/// Contradictions, less a tenth of the confirmations, from which reports are not believed.
-const DOUBTED_FROM: f32 = 4.0;
-const MOST_DOUBT: f32 = 8.0;
-const CONFIRMED: f32 = 0.1;
-/// Requests by which a report may differ from the own count: answers on the way.
-const REPORT_SLACK: u32 = 1;
+/// Age at which a report is worth no more than the moving average: most of the requests that it
+/// counted have ended by then.
+const REPORT_LIFETIME: Micros = Micros::from_millis(10);
+/// Level of doubt from which a server's reports are ignored. Each contradiction adds 1 and each
+/// confirmation subtracts `CONFIRMATION_STEP`.
+const DISTRUST_THRESHOLD: f32 = 4.0;
+const MAX_DOUBT: f32 = 8.0;
+const CONFIRMATION_STEP: f32 = 0.1;
+/// Requests by which a report may fall short of the own count, because answers are in transit.
+const REPORT_TOLERANCE: u32 = 1;
 
 /// Requests of other dispatchers on one server.
 #[derive(Debug, Default)]
@@ -33,54 +36,55 @@
 }
 
 impl OthersLoad {
-    /// Takes a report that the server wrote when it held `own` requests of this instance.
-    pub fn report(&mut self, now: Micros, report: LoadReport, own: u32) {
+    /// Records a report; the server held `own_requests` requests of this instance when it wrote it.
+    pub fn record_report(&mut self, now: Micros, report: LoadReport, own_requests: u32) {
         let total = report.in_flight.saturating_add(report.waiting);
-        self.weigh(own > total + REPORT_SLACK);
-        self.last = total.saturating_sub(own) as f32;
+        self.update_doubt(own_requests > total + REPORT_TOLERANCE);
+        self.last = total.saturating_sub(own_requests) as f32;
         self.average += OTHERS_WEIGHT * (self.last - self.average);
         self.waiting = report.waiting;
         self.reported_at = Some(now);
     }
 
-    /// The server refused a request: it is full, whatever it reported.
-    pub fn refused(&mut self, now: Micros, slots: u32) {
+    /// Records that the server rejected a request: it is full, regardless of its reports.
+    pub fn record_rejection(&mut self, now: Micros, slots: u32) {
         self.last = slots as f32;
         self.reported_at = Some(now);
     }
 
-    /// A request came back after `latency`. When the server claims a queue of a whole round of its
-    /// slots and still answers within the service's mean, the claim is false.
-    pub fn answered(&mut self, latency: Micros, mean: f32, slots: u32) {
+    /// Records an answer after `latency`. A server that reports at least one waiting request per
+    /// slot and still answers within the service's mean latency reported a false queue.
+    pub fn record_answer(&mut self, latency: Micros, mean: f32, slots: u32) {
         if self.waiting >= slots {
-            self.weigh((latency.0 as f32) < mean);
+            self.update_doubt((latency.0 as f32) < mean);
         }
     }
 
-    fn weigh(&mut self, is_contradiction: bool) {
-        let step = if is_contradiction { 1.0 } else { -CONFIRMED };
-        self.doubt = (self.doubt + step).clamp(0.0, MOST_DOUBT);
+    fn update_doubt(&mut self, contradicts: bool) {
+        let step = if contradicts { 1.0 } else { -CONFIRMATION_STEP };
+        self.doubt = (self.doubt + step).clamp(0.0, MAX_DOUBT);
     }
 
-    /// Whether the server's reports are believed.
-    pub fn is_believed(&self) -> bool {
-        self.doubt < DOUBTED_FROM
+    /// Whether the server's reports are used.
+    pub fn is_trusted(&self) -> bool {
+        self.doubt < DISTRUST_THRESHOLD
     }
 
-    /// Average of the reports.
+    /// Moving average of the reported requests of other dispatchers.
     pub fn average(&self) -> f32 {
         self.average
     }
 
-    /// Estimate for now; `typical` stands in for reports that are not believed.
-    pub fn estimate(&self, now: Micros, typical: f32) -> f32 {
-        if !self.is_believed() {
-            return typical;
+    /// Estimates the requests of other dispatchers at `now`. Returns `typical_load` when there is
+    /// no report or the reports are not trusted.
+    pub fn estimate(&self, now: Micros, typical_load: f32) -> f32 {
+        if !self.is_trusted() {
+            return typical_load;
         }
-        let Some(at) = self.reported_at else {
-            return typical;
+        let Some(reported_at) = self.reported_at else {
+            return typical_load;
         };
-        let age = (now - at).0 as f32 / REPORT_FADES_IN.0 as f32;
+        let age = (now - reported_at).0 as f32 / REPORT_LIFETIME.0 as f32;
         let weight = (1.0 - age).max(0.0);
         self.average + weight * (self.last - self.average)
     }
--- a/crates/galenapath-policy/src/balance/mod.rs
+++ b/crates/galenapath-policy/src/balance/mod.rs
@@ -1,22 +1,22 @@
 //! Choice of the backend server for a request.
 //!
-//! The load patterns that each part answers stand in the modules: `choice` (where work goes),
-//! `load` (how many slots are free), `health` (slow and failing servers), `path` (the cost of
-//! crossing to another failure domain).
+//! Each module describes the load pattern that it handles: `choice` (selection of a server), `load`
+//! (estimate of the free slots), `health` (slow and failing servers) and `path` (the cost of
+//! cross-domain sends).
 
 mod balancer;
 mod baseline;
 mod choice;
 mod config;
+mod handle;
 mod health;
 mod latency;
 mod load;
 mod path;
 mod server;
-mod slot;
 mod spec;
 
 pub use balancer::Balancer;
 pub use config::{BalancerConfig, ChoicePolicy};
-pub use slot::Slot;
+pub use handle::Slot;
 pub use spec::{BackendSpec, BackendState};
--- a/crates/galenapath-policy/src/balance/server.rs
+++ b/crates/galenapath-policy/src/balance/server.rs
@@ -1,55 +1,55 @@
-//! What a balancer knows about one backend server.
+//! State of one backend server in a balancer.
 
-use super::health::{Health, Sign};
+use super::health::{Health, HealthEvent};
 use super::latency::{LateLimits, Lateness};
 use super::load::OthersLoad;
 use crate::measure::ProbeBudget;
 use galenapath_protocol::{BackendId, LoadReport, Micros};
 use std::collections::VecDeque;
 
-/// Largest number that is believed of a report. Servers of today have 6 slots and 240 connections.
-const MOST_REPORTED: u32 = 10_000;
+/// Upper bound for the numbers of a report. Deployed servers have 6 slots and 240 connections.
+const MAX_REPORTED: u32 = 10_000;
 
-/// First pause after a refusal; doubles with each one that follows.
-const FIRST_PAUSE: Micros = Micros::from_millis(10);
-const MOST_DOUBLINGS: u32 = 6;
+/// Pause after the first rejection; doubles with each further one.
+const INITIAL_PAUSE: Micros = Micros::from_millis(10);
+const MAX_PAUSE_DOUBLINGS: u32 = 6;
 
 /// A request of this instance in flight.
 #[derive(Clone, Copy, Debug)]
 struct InFlight {
     started: Micros,
-    /// Lateness that `health` has already counted.
+    /// Lateness that is already included in the health score.
     counted: Lateness,
 }
 
 /// A request that has just ended.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Ended {
+pub(super) struct EndedRequest {
     pub started: Micros,
     pub counted: Lateness,
 }
 
-/// State of one backend server.
+/// A backend server as observed by this instance.
 #[derive(Debug)]
 pub(super) struct Server {
     pub id: BackendId,
     pub generation: u32,
-    /// Whether the server runs in the balancer's own failure domain.
-    pub home: bool,
-    /// Never goes back to false.
+    /// Whether the server is in the balancer's failure domain.
+    pub is_local: bool,
+    /// Never reset to false.
     pub leaving: bool,
     pub connection_share: u32,
     pub slots: u32,
     /// Requests in flight, oldest first.
-    flights: VecDeque<InFlight>,
+    requests: VecDeque<InFlight>,
     pub others: OthersLoad,
-    /// Last sign of life: a report or an answer.
-    pub fresh_at: Micros,
-    /// When a server that joined later was first listed; its share ramps up from there.
-    pub ramp_from: Option<Micros>,
+    /// Time of the last report or answer.
+    pub last_contact_at: Micros,
+    /// Start of the ramp-up of a server that was added after the first list.
+    pub ramp_started_at: Option<Micros>,
     paused_until: Micros,
-    /// Refusals since the last answer.
-    refusals: u32,
+    /// Rejections since the last answer.
+    rejections: u32,
     pub health: Health,
     pub probes: ProbeBudget,
 }
@@ -59,16 +59,16 @@
         Self {
             id,
             generation,
-            home: false,
+            is_local: false,
             leaving: false,
             connection_share: 0,
             slots,
-            flights: VecDeque::new(),
+            requests: VecDeque::new(),
             others: OthersLoad::default(),
-            fresh_at: Micros::ZERO,
-            ramp_from: None,
+            last_contact_at: Micros::ZERO,
+            ramp_started_at: None,
             paused_until: Micros::ZERO,
-            refusals: 0,
+            rejections: 0,
             health: Health::default(),
             probes,
         }
@@ -76,90 +76,93 @@
 
     /// Requests of this instance in flight.
     pub fn in_flight(&self) -> u32 {
-        self.flights.len() as u32
+        self.requests.len() as u32
     }
 
-    /// Whether the server may be given another request at all.
+    /// Whether the server can take another request of this instance.
     pub fn is_open(&self) -> bool {
         !self.leaving && self.in_flight() < self.connection_share
     }
 
-    /// Whether the server refused requests a moment ago.
+    /// Whether the server is in the pause after a rejection.
     pub fn is_paused(&self, now: Micros) -> bool {
         now < self.paused_until
     }
 
+    /// Records that a request is sent to the server.
     pub fn start(&mut self, now: Micros) {
-        self.flights.push_back(InFlight { started: now, counted: Lateness::InTime });
-        self.health.started(now);
+        self.requests.push_back(InFlight { started: now, counted: Lateness::OnTime });
+        self.health.record_start(now);
     }
 
     /// Removes the request in flight that started nearest to `started`; `None` when nothing is in
     /// flight.
-    pub fn finish(&mut self, started: Micros) -> Option<Ended> {
+    pub fn finish(&mut self, started: Micros) -> Option<EndedRequest> {
         let distance = |f: &InFlight| f.started.0.abs_diff(started.0);
-        let index = (0..self.flights.len()).min_by_key(|&i| distance(&self.flights[i]))?;
-        let InFlight { started, counted } = self.flights.remove(index)?;
-        Some(Ended { started, counted })
+        let index = (0..self.requests.len()).min_by_key(|&i| distance(&self.requests[i]))?;
+        let InFlight { started, counted } = self.requests.remove(index)?;
+        Some(EndedRequest { started, counted })
     }
 
-    /// The server answered.
-    pub fn answered(&mut self, now: Micros) {
-        self.fresh_at = now;
-        self.refusals = 0;
+    /// Records that the server answered.
+    pub fn record_answer(&mut self, now: Micros) {
+        self.last_contact_at = now;
+        self.rejections = 0;
     }
 
-    /// The server refused a request.
-    pub fn refused(&mut self, now: Micros) {
-        self.others.refused(now, self.slots);
-        let pause = Micros(FIRST_PAUSE.0 << self.refusals.min(MOST_DOUBLINGS));
+    /// Records that the server rejected a request.
+    pub fn record_rejection(&mut self, now: Micros) {
+        self.others.record_rejection(now, self.slots);
+        let pause = Micros(INITIAL_PAUSE.0 << self.rejections.min(MAX_PAUSE_DOUBLINGS));
         self.paused_until = now + pause;
-        self.refusals += 1;
+        self.rejections += 1;
     }
 
-    /// Tells `health` of requests in flight that have become late. They are in order of age, so the
-    /// first that is in time ends the search.
-    pub fn note_late(&mut self, now: Micros, limits: &LateLimits) {
-        for flight in &mut self.flights {
-            let lateness = limits.lateness(now - flight.started);
-            if lateness == Lateness::InTime {
+    /// Updates the health with requests in flight that have become late. Requests are sorted by
+    /// age, so the scan ends at the first one that is on time.
+    pub fn record_late_requests(&mut self, now: Micros, limits: &LateLimits) {
+        for request in &mut self.requests {
+            let lateness = limits.lateness(now - request.started);
+            if lateness == Lateness::OnTime {
                 return;
             }
-            if lateness > flight.counted {
-                let sign = Sign::Became { before: flight.counted, lateness };
-                self.health.note(now, flight.started, sign);
-                flight.counted = lateness;
+            if lateness > request.counted {
+                let event = HealthEvent::BecameLate { before: request.counted, lateness };
+                self.health.record(now, request.started, event);
+                request.counted = lateness;
             }
         }
     }
 
-    /// Takes a report that was written at `written`: requests that started later were not there.
-    pub fn report(&mut self, now: Micros, written: Micros, report: LoadReport) {
-        let report = bounded(report);
+    /// Records a report that the server wrote at `written_at`. Requests that started later had not
+    /// reached the server by then.
+    pub fn record_report(&mut self, now: Micros, written_at: Micros, report: LoadReport) {
+        let report = clamp_report(report);
         self.slots = report.slots;
         self.leaving |= report.leaving;
-        let own = self.flights.iter().filter(|f| f.started <= written).count() as u32;
-        self.others.report(now, report, own);
-        self.fresh_at = now;
+        let own_requests = self.requests.iter().filter(|f| f.started <= written_at).count() as u32;
+        self.others.record_report(now, report, own_requests);
+        self.last_contact_at = now;
     }
 
-    /// Slots that may be used now: all of them, or fewer while a new server warms up.
+    /// Slots that may be used now: all of them, or fewer while a new server ramps up.
     pub fn usable_slots(&self, now: Micros, ramp: Micros) -> f32 {
         let slots = self.slots as f32;
-        let Some(from) = self.ramp_from else {
+        let Some(started_at) = self.ramp_started_at else {
             return slots;
         };
-        let part = (now - from).0 as f32 / ramp.0.max(1) as f32;
-        (slots * part).clamp(1.0, slots)
+        let fraction = (now - started_at).0 as f32 / ramp.0.max(1) as f32;
+        (slots * fraction).clamp(1.0, slots)
     }
 }
 
-/// Numbers of a report as far as they can be true; sums over many servers then stay in range.
-fn bounded(report: LoadReport) -> LoadReport {
+/// Limits the numbers of a report to plausible values, so that sums over many servers stay in
+/// range.
+fn clamp_report(report: LoadReport) -> LoadReport {
     LoadReport {
-        in_flight: report.in_flight.min(MOST_REPORTED),
-        waiting: report.waiting.min(MOST_REPORTED),
-        slots: report.slots.clamp(1, MOST_REPORTED),
+        in_flight: report.in_flight.min(MAX_REPORTED),
+        waiting: report.waiting.min(MAX_REPORTED),
+        slots: report.slots.clamp(1, MAX_REPORTED),
         leaving: report.leaving,
         pace: report.pace,
     }
--- a/crates/galenapath-policy/src/balance/spec.rs
+++ b/crates/galenapath-policy/src/balance/spec.rs
@@ -1,4 +1,4 @@
-//! What a balancer is told about backend servers and requests.
+//! Descriptions of the backend servers that a balancer chooses among.
 
 use galenapath_protocol::{BackendId, DomainId};
 
@@ -11,8 +11,8 @@
     pub domain: DomainId,
     /// Whether it takes new requests.
     pub state: BackendState,
-    /// Most connections that this instance may hold to the server. Zero means none, so that the
-    /// server is never chosen.
+    /// Maximum number of connections from this instance to the server. A server with zero is never
+    /// chosen.
     pub connection_share: u32,
 }
 
@@ -21,6 +21,6 @@
 pub enum BackendState {
     /// It takes new requests.
     Live,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its running requests and takes no new ones.
     Leaving,
 }
