--- a/crates/galenapath-policy/benches/decisions/sim/members.rs
+++ b/crates/galenapath-policy/benches/decisions/sim/members.rs
@@ -3,7 +3,9 @@
 use super::{Event, Sim, domain_id};
 use crate::fleet::Server;
 use crate::scenario::{CALLERS, INSTANCES, MS, Time};
-use galenapath_policy::dispatch::{ConnectionSplit, DispatcherLoad, Instance, answer, dispatchers};
+use galenapath_policy::dispatch::{
+    ConnectionSplit, DispatcherLoad, Instance, choose_dispatcher, dispatchers,
+};
 use galenapath_policy::{BackendSpec, BackendState, ChoicePolicy};
 use galenapath_protocol::Micros;
 use rand::RngExt;
@@ -65,7 +67,7 @@
     pub(super) fn pin(&mut self, caller: usize) {
         let place = if self.player.policy == ChoicePolicy::Galenapath {
             let loads: Vec<_> = self.dispatching.iter().map(|&i| self.known_load(i)).collect();
-            answer(&loads, &mut self.rng).unwrap_or(0)
+            choose_dispatcher(&loads, &mut self.rng).unwrap_or(0)
         } else {
             self.rng.random_range(0..self.dispatching.len())
         };
--- a/crates/galenapath-policy/src/dispatch/addresses.rs
+++ b/crates/galenapath-policy/src/dispatch/addresses.rs
@@ -1,109 +1,121 @@
-//! Which instances a caller is told to connect to.
+//! Choice of the instances whose addresses a caller receives.
 //!
-//! Load pattern: callers spread over many instances, each of which then sees a sliver of the
-//! traffic and knows little of the servers, while every connection between failure domains costs
-//! time and is billed. A caller is given as few instances of its own failure domain as carry the load,
-//! the same for all callers there, so that each of them sees much of the traffic. More
-//! than carry the load would bring nothing when one is lost: a caller whose instance is lost asks again and is
-//! told another.
+//! Load pattern: callers spread over many instances. Each instance then handles a small share of
+//! the traffic and knows little of the servers' load, and every connection between failure domains
+//! adds latency and is billed. A caller therefore receives the smallest number of instances of its
+//! own failure domain that can handle the load. All callers of the domain receive the same
+//! instances, so that each instance handles a large share of the traffic. Further instances would
+//! not help when one is lost, because its callers ask again and receive another address.
 //!
-//! Load pattern: the instance that carries a domain's load is lost or restarted. What it was sent goes with
-//! it, and the next smaller one alone would be given all callers of the domain, several times what it takes,
-//! until its own rate shows. So what callers of a domain send is remembered for longer than an instance lives.
+//! Load pattern: the instance that handles a domain's load is lost or restarted. Its request rate
+//! is lost with it, and the next smaller instance alone would receive all callers of the domain,
+//! several times its capacity, until its own rate is known. The load of a domain's callers is
+//! therefore kept beyond the lifetime of an instance.
 //!
-//! Load pattern: all instances start at the same moment. Each of them asks the seeds who is there, at the
-//! very time at which callers come back, so that among equals a seed is named last.
+//! Load pattern: all instances start at the same time. Each of them contacts the seeds for the list
+//! of members just when callers reconnect, so a seed comes last among equal instances.
 
 use galenapath_protocol::{Micros, hash64};
 use std::net::SocketAddr;
 
-/// Seed of the order of instances.
-const ORDER_SEED: u64 = 0x6164_6472;
+/// Hash seed for the order of equal instances.
+const INSTANCE_ORDER_SEED: u64 = 0x6164_6472;
 
-/// Thresholds of the address answer.
+/// Configuration of [`addresses_for`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerConfig {
-    /// Least number of instances of the caller's own failure domain in an answer. One that carries the
-    /// load knows all that the domain sends; see above.
-    pub home: usize,
-    /// Least number of instances in an answer; others fill it up where the own domain has too few.
-    pub least: usize,
-    /// Most instances in an answer.
-    pub most: usize,
-    /// Of the capacity of the own failure domain, one part in so many is named while the load is not
-    /// known.
-    pub unknown_part: u32,
-    /// Times what an instance takes with ease that it is given before many small ones are named beside it.
-    pub stretch: u32,
+    /// Minimum number of instances of the caller's failure domain. A single instance that can
+    /// handle the load knows all traffic of the domain; see the module documentation.
+    pub min_local: usize,
+    /// Minimum number of addresses; instances of other domains are added if the caller's has too
+    /// few.
+    pub min: usize,
+    /// Maximum number of addresses.
+    pub max: usize,
+    /// While the load is unknown, it is assumed to be the capacity of the caller's failure domain
+    /// divided by this number.
+    pub unknown_load_divisor: u32,
+    /// Load of an instance, as a multiple of its capacity, up to which it is preferred to many
+    /// small instances.
+    pub max_load_factor: u32,
 }
 
 impl Default for AnswerConfig {
     fn default() -> Self {
-        Self { home: 1, least: 1, most: 48, unknown_part: 3, stretch: MOST_STRETCH }
+        Self {
+            min_local: 1,
+            min: 1,
+            max: 48,
+            unknown_load_divisor: 3,
+            max_load_factor: MAX_LOAD_FACTOR,
+        }
     }
 }
 
-/// Time in which a remembered load loses half its weight: longer than callers keep an answer and than an
-/// instance that is named anew needs to tell its rate.
-const REMEMBERED_HALF: Micros = Micros::from_secs(4);
+/// Half-life of the peak load of a domain: longer than callers reuse their addresses, and longer
+/// than an instance that starts to receive callers needs to report its rate.
+const PEAK_HALF_LIFE: Micros = Micros::from_secs(4);
 
-/// Times what an instance takes with ease that it takes for a while: two thirds of its processor.
-const MOST_STRETCH: u32 = 2;
+/// Load that an instance can handle temporarily, as a multiple of its capacity: two thirds of its
+/// processor.
+const MAX_LOAD_FACTOR: u32 = 2;
 
-/// Times as many instances that are named so that none is stretched; more would know too little.
-const MANY: usize = 2;
+/// Maximum factor by which the number of instances may grow to keep each within its capacity. With
+/// more instances, each would know too little of the servers' load.
+const MAX_EXTRA_FACTOR: usize = 2;
 
-/// Requests a second that callers of one failure domain send, as remembered beyond the loss of those that
-/// they were sent to.
+/// Peak rate, in requests per second, of the callers of one failure domain. It decays over time and
+/// is kept when the instances that received the requests are lost.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RecentLoad {
-    most: f64,
+    peak: f64,
     at: Micros,
 }
 
 impl RecentLoad {
-    /// The same after `load` requests a second were seen at `now`.
+    /// Returns the peak updated with `load` requests per second at `now`.
     #[must_use]
     pub fn with(self, now: Micros, load: u32) -> Self {
-        Self { most: f64::from(load).max(f64::from(self.get(now))), at: now }
+        Self { peak: f64::from(load).max(f64::from(self.get(now))), at: now }
     }
 
-    /// What is remembered at `now`.
+    /// Returns the decayed peak at `now`.
     pub fn get(self, now: Micros) -> u32 {
-        let halves = (now - self.at).0 as f64 / REMEMBERED_HALF.0 as f64;
-        (self.most * (-halves).exp2()) as u32
+        let half_lives = (now - self.at).0 as f64 / PEAK_HALF_LIFE.0 as f64;
+        (self.peak * (-half_lives).exp2()) as u32
     }
 }
 
-/// An instance that callers may be sent to.
+/// An instance whose address callers may receive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reachable<'a> {
-    /// Its name.
+    /// Name of the instance.
     pub name: &'a str,
     /// Failure domain that it runs in.
     pub domain: &'a str,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Requests a second that callers send it.
+    /// Requests per second that callers send to it.
     pub rate: u32,
-    /// Requests a second that it can take with ease; zero where that is not known.
+    /// Requests per second that it can handle without overload; zero if unknown.
     pub capacity: u32,
-    /// Whether instances that start ask it who is there.
+    /// Whether starting instances contact it for the list of members.
     pub is_seed: bool,
 }
 
 impl Reachable<'_> {
-    /// Requests a second that callers of `domain` may send it: an instance of another domain has callers of its
-    /// own.
-    fn room_for(&self, domain: &str) -> u32 {
+    /// Requests per second that it can take from callers of `domain`. In another domain, the
+    /// requests of its own callers are subtracted.
+    fn available_capacity(&self, domain: &str) -> u32 {
         if self.domain == domain { self.capacity } else { self.capacity.saturating_sub(self.rate) }
     }
 }
 
-/// The addresses for a caller in failure domain `domain`, best first: as many instances of the
-/// domain as it takes to carry `load` requests a second, larger ones first, and others where the domain has
-/// none. While the load is not known, a part of the domain's instances share what comes: all of them would know
-/// too little of each other, few could drown.
+/// Returns the addresses for a caller in failure domain `domain`, best first: as many instances of
+/// the domain as are needed for `load` requests per second, larger instances first, or instances of
+/// other domains if the domain has none. While the load is unknown, some of the domain's instances
+/// share it: each of all instances would know too little of the servers' load, and a few could be
+/// overloaded.
 pub fn addresses_for(
     cfg: &AnswerConfig,
     domain: &str,
@@ -112,39 +124,48 @@
 ) -> Vec<SocketAddr> {
     let mut ranked: Vec<&Reachable<'_>> = reachable.iter().collect();
     ranked.sort_by_key(|instance| {
-        let order = hash64(ORDER_SEED, instance.name.as_bytes());
-        let room = std::cmp::Reverse(instance.room_for(domain));
-        (instance.domain != domain, room, instance.is_seed, order)
+        let order = hash64(INSTANCE_ORDER_SEED, instance.name.as_bytes());
+        let capacity = std::cmp::Reverse(instance.available_capacity(domain));
+        (instance.domain != domain, capacity, instance.is_seed, order)
     });
-    let home = ranked.iter().filter(|instance| instance.domain == domain).count();
-    let carrying = if home > 0 { &ranked[..home] } else { &ranked[..] };
-    let rooms: Vec<u32> = carrying.iter().map(|instance| instance.room_for(domain)).collect();
-    let load = load.unwrap_or_else(|| rooms[..home].iter().sum::<u32>() / cfg.unknown_part);
-    let count = carriers(&rooms, load, cfg).max(cfg.least).min(cfg.most);
+    let local_count = ranked.iter().filter(|instance| instance.domain == domain).count();
+    let eligible = if local_count > 0 { &ranked[..local_count] } else { &ranked[..] };
+    let capacities: Vec<u32> =
+        eligible.iter().map(|instance| instance.available_capacity(domain)).collect();
+    let load = load.unwrap_or_else(|| {
+        capacities[..local_count].iter().sum::<u32>() / cfg.unknown_load_divisor
+    });
+    let count = instances_needed(&capacities, load, cfg).max(cfg.min).min(cfg.max);
     ranked.iter().take(count).map(|instance| instance.address).collect()
 }
 
-/// How many of the first instances, at least `cfg.home`, carry `load` requests a second, by the requests that each
-/// has room for. Callers choose among those that they are told by chance, so that all get the same part, also
-/// the smallest: a tenth of a core beside half a core would drown in half of the requests.
+/// Returns how many of the first instances are needed for `load` requests per second, at least
+/// `cfg.min_local`. Callers choose among their addresses at random, so all instances receive equal
+/// shares and the smallest one limits the total: an instance with a tenth of a core next to one
+/// with half a core would be overloaded by half of the requests.
 ///
-/// Where it takes many small ones to carry the load with ease, a few large ones carry it without: each of the
-/// many would know next to nothing of the servers, and ask in vain for what is left of the questions to them.
-fn carriers(rooms: &[u32], load: u32, cfg: &AnswerConfig) -> usize {
+/// If many small instances are needed to stay within capacity, a few large ones are used beyond
+/// theirs instead, up to `cfg.max_load_factor`. Each of many instances would know almost nothing of
+/// the servers' load and would get almost none of the budget for load queries.
+fn instances_needed(capacities: &[u32], load: u32, cfg: &AnswerConfig) -> usize {
     let mut smallest = u32::MAX;
-    let carried: Vec<u32> = rooms
+    let total_capacity: Vec<u32> = capacities
         .iter()
         .zip(1_u32..)
-        .map(|(room, count)| {
-            smallest = smallest.min(*room);
+        .map(|(capacity, count)| {
+            smallest = smallest.min(*capacity);
             smallest.saturating_mul(count)
         })
         .collect();
-    let counts = || (cfg.home.min(rooms.len()).max(1)..=rooms.len()).map(|n| (n, carried[n - 1]));
-    let first = |stretch: u32| counts().find(|(_, room)| room.saturating_mul(stretch) >= load);
-    match (first(1), first(cfg.stretch)) {
-        (Some((at_ease, _)), Some((stretched, _))) if at_ease <= MANY * stretched => at_ease,
-        (_, Some((stretched, _))) => stretched,
-        _ => counts().rev().max_by_key(|(_, room)| *room).map_or(0, |(count, _)| count),
+    let counts = || {
+        (cfg.min_local.min(capacities.len()).max(1)..=capacities.len())
+            .map(|n| (n, total_capacity[n - 1]))
+    };
+    let first_sufficient =
+        |load_factor: u32| counts().find(|(_, total)| total.saturating_mul(load_factor) >= load);
+    match (first_sufficient(1), first_sufficient(cfg.max_load_factor)) {
+        (Some((normal, _)), Some((loaded, _))) if normal <= MAX_EXTRA_FACTOR * loaded => normal,
+        (_, Some((loaded, _))) => loaded,
+        _ => counts().rev().max_by_key(|(_, total)| *total).map_or(0, |(count, _)| count),
     }
 }
--- a/crates/galenapath-policy/src/dispatch/connections.rs
+++ b/crates/galenapath-policy/src/dispatch/connections.rs
@@ -1,67 +1,68 @@
-//! How many connections each instance may hold to a backend server.
+//! Maximum number of connections from each instance to a backend server.
 //!
-//! Load pattern: half of the instances are replaced while traffic runs, so that old and new ones
-//! hold connections at the same time, by lists that differ. Without a split that allows for both,
-//! the server's limit is passed just then and it refuses connections.
+//! Load pattern: half of the instances are replaced under traffic, so that old and new instances
+//! hold connections at the same time and their lists of instances differ. Unless the split allows
+//! for both, the server's connection limit is exceeded and it refuses connections.
 //!
-//! The split needs no messages. Each view (a list of instances and dispatchers) hands out at most
-//! half of the limit, which leaves room for the instances that still follow the view before. Of
-//! that half, most goes to all instances alike: one that has just ceased to dispatch still has the
-//! callers that were sent to it, and any instance can serve a request that came to it.
+//! The split needs no messages between instances. Each view (a list of instances and dispatchers)
+//! allots at most half of the limit, which leaves the other half to instances that still use the
+//! previous view. Most of the allotted half is divided equally among all instances, because an
+//! instance that no longer dispatches still serves its existing callers, and any instance can serve
+//! a request that it receives.
 
 use galenapath_protocol::Micros;
 
-/// Views that may be followed at the same time: the old one and the new one.
+/// Views that may be in use at the same time: the old one and the new one.
 const OVERLAPPING_VIEWS: u32 = 2;
-/// Part of a view's connections that all instances share alike, in fifths; the rest is for the
-/// dispatchers. With 16 instances and 240 connections every instance may hold six, as many as a
+/// Fifths of a view's connections that are divided equally among all instances; the rest is for the
+/// dispatchers. With 16 instances and 240 connections each instance may hold six, as many as a
 /// server has slots.
-const COMMON_FIFTHS: u32 = 4;
+const SHARED_FIFTHS: u32 = 4;
 
-/// Instances of today's deployments.
-const TODAYS_INSTANCES: u32 = 16;
+/// Number of instances that is assumed until the others are known, as deployed by default.
+const DEFAULT_INSTANCES: u32 = 16;
 
 /// Split of one backend server's connections among instances.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSplit {
-    /// Most connections that the server takes from all instances.
+    /// Maximum number of connections that the server accepts from all instances together.
     pub limit: u32,
 }
 
 impl ConnectionSplit {
-    /// Most connections one instance may hold, in a view of `instances` instances of which
-    /// `dispatchers` dispatch for the server's service. Zero tells an instance that does not
-    /// dispatch to pass requests on to one that does.
+    /// Returns the maximum number of connections of one instance, in a view of `instances`
+    /// instances of which `dispatchers` dispatch for the server's service. At zero, an instance
+    /// that does not dispatch forwards its requests to one that does.
     ///
-    /// Invariant: over all instances of one view the shares sum up to at most half of `limit`.
+    /// Invariant: the shares of all instances of one view sum to at most half of `limit`.
     pub fn share(&self, instances: u32, dispatchers: u32, is_dispatcher: bool) -> u32 {
         let view = self.limit / OVERLAPPING_VIEWS;
-        let pool = view * COMMON_FIFTHS / 5;
-        let common = pool / instances.max(1);
-        if is_dispatcher { common + (view - pool) / dispatchers.max(1) } else { common }
+        let pool = view * SHARED_FIFTHS / 5;
+        let per_instance = pool / instances.max(1);
+        if is_dispatcher { per_instance + (view - pool) / dispatchers.max(1) } else { per_instance }
     }
 }
 
 impl ConnectionSplit {
-    /// Most connections of an instance that does not know the others yet: what one of today's 16
-    /// instances that does not dispatch may hold.
+    /// Returns the maximum number of connections of an instance that does not know the others yet:
+    /// the share of an instance that does not dispatch, among 16 instances.
     ///
-    /// An instance that has just started sees only itself and would take the whole half of the
-    /// limit; with several started at once the server's limit would be passed within a second.
+    /// An instance that has just started sees only itself, so `share` would allot it the whole half
+    /// of the limit. Several instances that start at once would exceed the limit within a second.
     pub fn starting_share(&self) -> u32 {
-        self.share(TODAYS_INSTANCES, TODAYS_INSTANCES, false)
+        self.share(DEFAULT_INSTANCES, DEFAULT_INSTANCES, false)
     }
 }
 
-/// One instance's share as it changes: lowered at once, raised only after the other instances
-/// must have learned of the change and lowered theirs.
+/// Share of one instance over time. It is lowered immediately but raised only after the other
+/// instances have had time to observe the change and lower their shares.
 #[derive(Clone, Debug)]
 pub struct SettlingShare {
-    settle: Micros,
-    /// Share in force.
+    settle_time: Micros,
+    /// Share in effect.
     current: u32,
-    /// Higher share that is waiting, and since when.
-    raised: Option<Raise>,
+    /// Raise that has not taken effect yet.
+    pending_raise: Option<Raise>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -71,35 +72,35 @@
 }
 
 impl SettlingShare {
-    /// Starts with `share`. `settle` is the longest time that the list of instances lags, plus the
-    /// time to close a connection.
-    pub fn new(settle: Micros, share: u32) -> Self {
-        Self { settle, current: share, raised: None }
+    /// Creates a share with the initial value `share`. `settle_time` is the maximum lag of the list
+    /// of instances plus the time to close a connection.
+    pub fn new(settle_time: Micros, share: u32) -> Self {
+        Self { settle_time, current: share, pending_raise: None }
     }
 
-    /// Takes the share of a new view.
+    /// Sets the share of a new view.
     pub fn set(&mut self, now: Micros, share: u32) {
         self.apply(now);
         if share <= self.current {
             self.current = share;
-            self.raised = None;
+            self.pending_raise = None;
             return;
         }
-        let since = match self.raised {
+        let since = match self.pending_raise {
             Some(raise) if raise.share >= share => raise.since,
             _ => now,
         };
-        self.raised = Some(Raise { share, since });
+        self.pending_raise = Some(Raise { share, since });
     }
 
-    /// The share in force.
+    /// Returns the share in effect.
     pub fn get(&mut self, now: Micros) -> u32 {
         self.apply(now);
         self.current
     }
 
     fn apply(&mut self, now: Micros) {
-        if let Some(raise) = self.raised.take_if(|r| now - r.since >= self.settle) {
+        if let Some(raise) = self.pending_raise.take_if(|r| now - r.since >= self.settle_time) {
             self.current = raise.share;
         }
     }
--- a/crates/galenapath-policy/src/dispatch/count.rs
+++ b/crates/galenapath-policy/src/dispatch/count.rs
@@ -1,19 +1,20 @@
-//! How many instances dispatch for a service.
+//! Number of instances that dispatch for a service.
 //!
-//! Load pattern: a service whose load grows beyond what a few instances can carry, and shrinks
-//! again. Without growth its dispatchers saturate; without the gap between the two thresholds the
-//! number flaps, and each flap moves callers and connections.
+//! Load pattern: the load of a service grows beyond the capacity of a few instances and shrinks
+//! again. With a fixed number of dispatchers they saturate. Without a gap between the thresholds
+//! for growing and shrinking the number flaps, and each change moves callers and connections.
 
 /// Thresholds of [`DispatcherCount`].
 #[derive(Clone, Debug)]
 pub struct CountConfig {
-    /// Requests per second that one small instance carries with ease, for all its services. A
-    /// request takes 84 to 102 microseconds of the data thread (`docs/CAPACITY.md`), so that 6,000
-    /// are 0.5 to 0.6 of a core.
+    /// Requests per second that one small instance handles without overload, for all its services.
+    /// A request takes 84 to 102 microseconds of the data thread (`docs/CAPACITY.md`), so 6,000
+    /// requests use 0.5 to 0.6 of a core.
     pub instance_rate: f64,
-    /// Part of `instance_rate` per dispatcher above which the number grows.
+    /// Fraction of `instance_rate` per dispatcher above which the number grows.
     pub grow_above: f64,
-    /// Part of `instance_rate` per dispatcher, after shrinking, below which the number shrinks.
+    /// Fraction of `instance_rate` per dispatcher below which the number shrinks. It applies to the
+    /// rate per dispatcher after shrinking.
     pub shrink_below: f64,
 }
 
@@ -30,7 +31,7 @@
 }
 
 impl DispatcherCount {
-    /// Takes the service's rate in requests per second; returns the number of dispatchers.
+    /// Updates the number for the service's rate in requests per second and returns it.
     pub fn update(
         &mut self,
         cfg: &CountConfig,
@@ -38,13 +39,13 @@
         domains: usize,
         instances: usize,
     ) -> usize {
-        let least = domains.max(1);
-        let needed = |part: f64| (rate / (cfg.instance_rate * part)).ceil() as usize;
+        let min = domains.max(1);
+        let needed = |fraction: f64| (rate / (cfg.instance_rate * fraction)).ceil() as usize;
         self.count = self.count.max(needed(cfg.grow_above));
         if needed(cfg.shrink_below) < self.count {
             self.count = needed(cfg.shrink_below);
         }
-        self.count = self.count.clamp(least, instances.max(least));
+        self.count = self.count.clamp(min, instances.max(min));
         self.count
     }
 }
--- a/crates/galenapath-policy/src/dispatch/mod.rs
+++ b/crates/galenapath-policy/src/dispatch/mod.rs
@@ -1,13 +1,14 @@
-//! Which entry instances dispatch for a service, and how they share its servers' connections.
+//! Choice of the instances that dispatch for a service, of the addresses that callers receive, and
+//! of each instance's share of a backend server's connections.
 
 mod addresses;
-mod answer;
 mod connections;
 mod count;
+mod dispatcher_choice;
 mod rendezvous;
 
 pub use addresses::{AnswerConfig, Reachable, RecentLoad, addresses_for};
-pub use answer::{DispatcherLoad, answer};
 pub use connections::{ConnectionSplit, SettlingShare};
 pub use count::{CountConfig, DispatcherCount};
+pub use dispatcher_choice::{DispatcherLoad, choose_dispatcher};
 pub use rendezvous::{Instance, dispatchers};
--- a/crates/galenapath-policy/src/dispatch/rendezvous.rs
+++ b/crates/galenapath-policy/src/dispatch/rendezvous.rs
@@ -1,11 +1,12 @@
 //! Rendezvous hashing of services onto instances.
 //!
-//! Load pattern: sixteen instances that each see a sixteenth of a service's traffic. Each knows so
-//! little of a server's few slots that they herd. With a few dispatchers per service each sees a
-//! large part of the traffic, so that its own requests in flight say most of what matters.
+//! Load pattern: each of sixteen instances handles a sixteenth of a service's traffic. Each then
+//! knows so little of the load on a server's few slots that their requests herd onto the same
+//! servers. With a few dispatchers per service, each handles a large share of the traffic, so its
+//! own requests in flight are most of the load that it needs to know.
 //!
-//! Every instance computes the same answer from the same list; two that hold different lists
-//! disagree only about the instances in which the lists differ.
+//! All instances compute the same result from the same list. The results for two different lists
+//! differ only in the instances that are not in both.
 
 use galenapath_protocol::{DomainId, InstanceId, hash64};
 
@@ -20,20 +21,20 @@
     pub domain: DomainId,
 }
 
-/// Place of an instance in the order of a service.
+/// An instance in the order of a service.
 struct Ranked<'a> {
     index: usize,
     domain: &'a DomainId,
-    /// Instances of the same domain that come before.
+    /// Number of instances of the same domain with a higher score.
     rank: usize,
     score: u64,
 }
 
 /// Chooses the instances that dispatch for `service`: `count` of them, but at least one per
-/// failure domain. Returns places in `instances`, best first.
+/// failure domain. Returns indices into `instances`, best first.
 ///
-/// A larger `count` only adds instances. One that joins or leaves moves at most two places: its
-/// own and, where domains are uneven, one more.
+/// A larger `count` only adds instances. An instance that joins or leaves changes at most two of
+/// the chosen instances: itself and, if the domains differ in size, one more.
 pub fn dispatchers(service: &str, instances: &[Instance], count: usize) -> Vec<usize> {
     let mut ranked = rank(service, instances);
     let domains = ranked.iter().filter(|r| r.rank == 0).count();
--- a/crates/galenapath-policy/tests/dispatch/connections.rs
+++ b/crates/galenapath-policy/tests/dispatch/connections.rs
@@ -10,23 +10,23 @@
 }
 
 #[test]
-fn share_sixteen_instances_fill_six_slots() {
+fn share_sixteen_instances_six_connections_each() {
     assert_eq!(share((16, 3), false), 6);
     assert_eq!(share((16, 3), true), 14);
 }
 
 #[test]
-fn share_large_fleet_leaves_dispatchers_some() {
+fn share_large_fleet_dispatchers_keep_connections() {
     assert_eq!(share((400, 3), false), 0);
     assert_eq!(share((400, 3), true), 8);
 }
 
 #[test]
-fn starting_share_all_replaced_at_once_within_limit() {
+fn initial_share_all_instances_replaced_within_limit() {
     let split = ConnectionSplit { limit: LIMIT };
     let old = 3 * share((16, 3), true) + 13 * share((16, 3), false);
     assert!(old + 16 * split.starting_share() <= LIMIT);
-    // What an instance that sees only itself would take else.
+    // Without the initial share, two instances that see only themselves would exceed the limit.
     assert!(old + 2 * share((1, 1), true) > LIMIT);
 }
 
@@ -35,16 +35,16 @@
 }
 
 proptest! {
-    /// While some instances follow an old view and the rest a new one, with all the old and all
-    /// the new instances connected, the server's limit holds.
+    /// While some instances use an old view and the others a new one, and all instances of both
+    /// views hold connections, the server's limit is kept.
     #[test]
     fn share_sum_of_two_views_within_limit(old in view(), new in view()) {
         let sum = |v: (u32, u32)| v.1 * share(v, true) + (v.0 - v.1) * share(v, false);
         prop_assert!(sum(old) + sum(new) <= LIMIT);
     }
 
-    /// Instances that learn of changes of the view at different times, but within `SETTLE`, never
-    /// hold more than one view hands out and a second one, however often it changes.
+    /// Instances that learn of a new view at different times, all within `SETTLE`, never hold more
+    /// than two views allot together, however often the view changes.
     #[test]
     fn get_many_changes_within_limit(
         changes in proptest::collection::vec((0u64..4_000_000, view()), 1..12),
--- a/crates/galenapath-policy/tests/dispatch/main.rs
+++ b/crates/galenapath-policy/tests/dispatch/main.rs
@@ -1,15 +1,15 @@
-//! Tests of the choice of dispatching instances.
+//! Tests of the `dispatch` module.
 
 mod addresses;
-mod answer;
 mod connections;
 mod count;
+mod dispatcher_choice;
 mod rendezvous;
 
 use galenapath_policy::dispatch::Instance;
 use galenapath_protocol::{DomainId, InstanceId};
 
-/// `count` instances, spread over `domains` failure domains.
+/// Returns `count` instances, spread evenly over `domains` failure domains.
 fn instances(count: usize, domains: usize) -> Vec<Instance> {
     (0..count)
         .map(|i| Instance {
--- a/crates/galenapath-policy/tests/dispatch/rendezvous.rs
+++ b/crates/galenapath-policy/tests/dispatch/rendezvous.rs
@@ -21,38 +21,43 @@
             load[i] += 1;
         }
     }
-    // 1,400 services times 3 on 16 instances: 262 each; domains hold 6, 5 and 5.
+    // 1,400 services with 3 dispatchers each on 16 instances make 262 per instance on average. The
+    // spread follows from domains of 6, 5 and 5 instances.
     assert!(load.iter().all(|l| (190..340).contains(l)), "{load:?}");
 }
 
 proptest! {
     #[test]
-    fn dispatchers_one_per_domain(count in 1usize..40, domains in 1usize..6, wanted in 0usize..10) {
+    fn dispatchers_one_per_domain(
+        count in 1usize..40,
+        domains in 1usize..6,
+        requested in 0usize..10,
+    ) {
         let all = instances(count, domains);
-        let chosen = dispatchers("lookup", &all, wanted);
+        let chosen = dispatchers("lookup", &all, requested);
         let covered: HashSet<_> = chosen.iter().map(|&i| &all[i].domain).collect();
         prop_assert_eq!(covered.len(), domains.min(count));
-        prop_assert_eq!(chosen.len(), wanted.max(domains.min(count)).min(count));
+        prop_assert_eq!(chosen.len(), requested.max(domains.min(count)).min(count));
     }
 
     #[test]
-    fn dispatchers_growth_only_adds(count in 1usize..40, wanted in 1usize..10) {
+    fn dispatchers_larger_count_only_adds(count in 1usize..40, requested in 1usize..10) {
         let all = instances(count, 3);
-        let few = names("lookup", &all, wanted);
-        let more = names("lookup", &all, wanted + 1);
+        let few = names("lookup", &all, requested);
+        let more = names("lookup", &all, requested + 1);
         prop_assert!(few.is_subset(&more));
     }
 
     #[test]
-    fn dispatchers_little_moves_when_one_leaves(gone in 0usize..16, wanted in 3usize..9) {
+    fn dispatchers_one_leaves_at_most_two_change(removed in 0usize..16, requested in 3usize..9) {
         let all = instances(16, 3);
-        let before = names("lookup", &all, wanted);
+        let before = names("lookup", &all, requested);
         let mut rest = all.clone();
-        let gone = rest.remove(gone).id.0;
-        let after = names("lookup", &rest, wanted);
+        let removed = rest.remove(removed).id.0;
+        let after = names("lookup", &rest, requested);
         let moved = before.difference(&after).count();
         prop_assert!(moved <= 2);
-        if !before.contains(&gone) {
+        if !before.contains(&removed) {
             prop_assert!(moved <= 1);
         }
     }
