--- a/crates/galenapath-policy/tests/balance/load.rs
+++ b/crates/galenapath-policy/tests/balance/load.rs
@@ -1,38 +1,38 @@
-use crate::support::{MS, USUAL, report, slot, warm};
+use crate::support::{MS, TYPICAL_LATENCY, handle, report, warmed_up};
 use galenapath_policy::Outcome;
 use galenapath_protocol::Micros;
 
-/// Many dispatchers, so that no slots are guaranteed and the estimate alone counts.
-const MANY: u32 = 600;
+/// So many dispatchers that no slots are guaranteed and only the estimate decides.
+const MANY_DISPATCHERS: u32 = 600;
 
 #[test]
 fn free_slots_report_counts_others() {
-    let (mut balancer, now) = warm(1, 0);
-    balancer.set_dispatchers(now, MANY);
-    let server = slot(&mut balancer, now, "h0");
+    let (mut balancer, now) = warmed_up(1, 0);
+    balancer.set_dispatchers(now, MANY_DISPATCHERS);
+    let server = handle(&mut balancer, now, "h0");
     balancer.start(now, server);
-    let later = now + USUAL;
+    let later = now + TYPICAL_LATENCY;
     balancer.report(later, server, report(4, 0));
-    // One of the four is our own; six slots less four.
+    // The four requests include the own one, so two of six slots are free.
     assert_eq!(balancer.free_slots(later), 2);
 }
 
 #[test]
-fn free_slots_request_on_the_way_not_taken_for_others() {
-    let (mut balancer, now) = warm(1, 0);
-    balancer.set_dispatchers(now, MANY);
-    let server = slot(&mut balancer, now, "h0");
+fn free_slots_request_in_transit_not_subtracted_from_report() {
+    let (mut balancer, now) = warmed_up(1, 0);
+    balancer.set_dispatchers(now, MANY_DISPATCHERS);
+    let server = handle(&mut balancer, now, "h0");
     balancer.start(now, server);
-    // Written before the request arrived: all three are others'.
+    // The report was written before the request arrived, so all three are of other dispatchers.
     balancer.report(now + Micros(100), server, report(3, 0));
     assert_eq!(balancer.free_slots(now + Micros(100)), 2);
 }
 
 #[test]
 fn free_slots_report_fades_to_average() {
-    let (mut balancer, now) = warm(1, 0);
-    balancer.set_dispatchers(now, MANY);
-    let server = slot(&mut balancer, now, "h0");
+    let (mut balancer, now) = warmed_up(1, 0);
+    balancer.set_dispatchers(now, MANY_DISPATCHERS);
+    let server = handle(&mut balancer, now, "h0");
     balancer.start(now, server);
     balancer.report(now, server, report(6, 0));
     assert_eq!(balancer.free_slots(now), 0);
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn free_slots_report_below_own_requests_not_believed() {
-    let (mut balancer, now) = warm(2, 0);
-    balancer.set_dispatchers(now, MANY);
-    let liar = slot(&mut balancer, now, "h0");
-    let honest = slot(&mut balancer, now, "h1");
+fn free_slots_report_below_own_requests_ignored() {
+    let (mut balancer, now) = warmed_up(2, 0);
+    balancer.set_dispatchers(now, MANY_DISPATCHERS);
+    let false_reporter = handle(&mut balancer, now, "h0");
+    let honest = handle(&mut balancer, now, "h1");
     for _ in 0..3 {
-        balancer.start(now, liar);
+        balancer.start(now, false_reporter);
     }
     let mut now = now;
     for _ in 0..200 {
@@ -54,25 +54,25 @@
         balancer.report(now, honest, report(4, 0));
     }
     for _ in 0..10 {
-        balancer.report(now, liar, report(0, 0));
+        balancer.report(now, false_reporter, report(0, 0));
     }
-    // The liar is taken to hold as much of the others' work as the honest server: three own and
-    // four others' requests leave nothing.
+    // The load of the false reporter is estimated as that of the honest server. Its three own
+    // requests and four of other dispatchers leave no free slot.
     assert_eq!(balancer.free_slots(now), 2);
 }
 
 #[test]
-fn free_slots_claimed_queue_disproved_by_answers() {
-    let (mut balancer, mut now) = warm(1, 0);
-    balancer.set_dispatchers(now, MANY);
-    let liar = slot(&mut balancer, now, "h0");
-    balancer.start(now, liar);
+fn free_slots_false_queue_report_ignored() {
+    let (mut balancer, mut now) = warmed_up(1, 0);
+    balancer.set_dispatchers(now, MANY_DISPATCHERS);
+    let false_reporter = handle(&mut balancer, now, "h0");
+    balancer.start(now, false_reporter);
     for _ in 0..10 {
-        balancer.report(now, liar, report(6, 10));
-        balancer.start(now, liar);
+        balancer.report(now, false_reporter, report(6, 10));
+        balancer.start(now, false_reporter);
         now = now + Micros(2 * MS);
-        balancer.finish(now, liar, Outcome::Answered, Micros(2 * MS));
+        balancer.finish(now, false_reporter, Outcome::Answered, Micros(2 * MS));
     }
-    balancer.report(now, liar, report(6, 10));
+    balancer.report(now, false_reporter, report(6, 10));
     assert!(balancer.free_slots(now) > 0);
 }
--- a/crates/galenapath-policy/tests/balance/main.rs
+++ b/crates/galenapath-policy/tests/balance/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the choice of the backend server.
+//! Tests of the `balance` module.
 
 mod balancer;
 mod choice;
--- a/crates/galenapath-policy/tests/balance/support.rs
+++ b/crates/galenapath-policy/tests/balance/support.rs
@@ -1,14 +1,14 @@
-//! A balancer with servers that answer as told.
+//! Helpers that create a balancer and drive it through requests, answers and reports.
 
 use galenapath_policy::{BackendSpec, BackendState, Balancer, BalancerConfig, Outcome, Slot};
 use galenapath_protocol::{BackendId, DomainId, LoadReport, Micros};
 
 pub const MS: u64 = 1_000;
-/// Latency of a healthy server in these tests.
-pub const USUAL: Micros = Micros(5 * MS);
+/// Latency of a healthy local server.
+pub const TYPICAL_LATENCY: Micros = Micros(5 * MS);
 
-/// Extra round trip to a foreign server.
-pub const CROSSING: Micros = Micros(3 * MS);
+/// Extra round trip to a remote server.
+pub const CROSS_DOMAIN_DELAY: Micros = Micros(3 * MS);
 
 pub fn spec(name: &str, domain: &str) -> BackendSpec {
     BackendSpec {
@@ -19,60 +19,62 @@
     }
 }
 
-/// `home` servers h0.. in the balancer's domain and `foreign` servers f0.. in another.
-pub fn specs(home: usize, foreign: usize) -> Vec<BackendSpec> {
-    let home = (0..home).map(|i| spec(&format!("h{i}"), "here"));
-    home.chain((0..foreign).map(|i| spec(&format!("f{i}"), "there"))).collect()
+/// Returns `local` servers h0, h1, ... in the balancer's domain and `remote` servers f0, f1, ... in
+/// another.
+pub fn specs(local: usize, remote: usize) -> Vec<BackendSpec> {
+    let local = (0..local).map(|i| spec(&format!("h{i}"), "here"));
+    local.chain((0..remote).map(|i| spec(&format!("f{i}"), "there"))).collect()
 }
 
-/// A balancer that knows its servers and has seen enough usual answers to judge.
-pub fn warm(home: usize, foreign: usize) -> (Balancer, Micros) {
+/// Returns a balancer that has had enough answers at the typical latency to detect late requests.
+pub fn warmed_up(local: usize, remote: usize) -> (Balancer, Micros) {
     let mut balancer = Balancer::new(
         BalancerConfig { dispatchers: 3, ..BalancerConfig::default() },
         DomainId("here".into()),
         7,
     );
-    balancer.set_backends(Micros::ZERO, &specs(home, foreign));
+    balancer.set_backends(Micros::ZERO, &specs(local, remote));
     let mut now = Micros::ZERO;
     for _ in 0..40 {
-        now = answer_all(&mut balancer, now);
+        now = answer_each(&mut balancer, now);
     }
     (balancer, now)
 }
 
-/// One request after the other to every server, each answered in the usual time, which is longer
-/// by `CROSSING` for foreign servers.
-pub fn answer_all(balancer: &mut Balancer, mut now: Micros) -> Micros {
-    for slot in slots(balancer, now) {
-        let is_foreign = balancer.backend(slot).is_some_and(|id| id.0.starts_with('f'));
-        let latency = if is_foreign { USUAL + CROSSING } else { USUAL };
-        balancer.start(now, slot);
+/// Sends one request at a time to each server. Each is answered after the typical latency, plus
+/// `CROSS_DOMAIN_DELAY` for a remote server. Returns the time of the last answer.
+pub fn answer_each(balancer: &mut Balancer, mut now: Micros) -> Micros {
+    for handle in handles(balancer, now) {
+        let is_remote = balancer.backend(handle).is_some_and(|id| id.0.starts_with('f'));
+        let latency =
+            if is_remote { TYPICAL_LATENCY + CROSS_DOMAIN_DELAY } else { TYPICAL_LATENCY };
+        balancer.start(now, handle);
         now = now + latency;
-        balancer.finish(now, slot, Outcome::Answered, latency);
+        balancer.finish(now, handle, Outcome::Answered, latency);
     }
     now
 }
 
-/// Handles of all servers that can be chosen.
-pub fn slots(balancer: &mut Balancer, now: Micros) -> Vec<Slot> {
-    let mut known = Vec::new();
-    while let Some(slot) = balancer.choose(now, &known) {
-        known.push(slot);
+/// Returns the handles of all servers that can be chosen.
+pub fn handles(balancer: &mut Balancer, now: Micros) -> Vec<Slot> {
+    let mut found = Vec::new();
+    while let Some(handle) = balancer.choose(now, &found) {
+        found.push(handle);
     }
-    known
+    found
 }
 
-pub fn slot(balancer: &mut Balancer, now: Micros, name: &str) -> Slot {
-    let all = slots(balancer, now);
+pub fn handle(balancer: &mut Balancer, now: Micros, name: &str) -> Slot {
+    let all = handles(balancer, now);
     let is_named = |s: &Slot| balancer.backend(*s).is_some_and(|id| *id.0 == *name);
     all.into_iter().find(is_named).unwrap_or_else(|| panic!("no open server {name}"))
 }
 
-/// How many of `rounds` choices, each of which starts and ends a request, fall on the server.
-pub fn chosen(balancer: &mut Balancer, now: Micros, slot: Slot, rounds: usize) -> usize {
+/// Returns how many of `rounds` choices fall on the server.
+pub fn count_choices(balancer: &mut Balancer, now: Micros, handle: Slot, rounds: usize) -> usize {
     let mut count = 0;
     for _ in 0..rounds {
-        count += usize::from(balancer.choose(now, &[]) == Some(slot));
+        count += usize::from(balancer.choose(now, &[]) == Some(handle));
     }
     count
 }
