--- a/crates/galenapath-entry/src/data/attempt.rs
+++ b/crates/galenapath-entry/src/data/attempt.rs
@@ -12,7 +12,7 @@
     BodyState, Connection, Field, Framing, HeadTimes, HttpError, ResponseHead, put_request,
     response_framing,
 };
-use galenapath_policy::{Outcome, Slot};
+use galenapath_policy::{BackendHandle, Outcome};
 use galenapath_protocol::{ATTEMPT_HEADER, LoadReport, Micros, REPORT_HEADER, Verdict};
 use http::{HeaderMap, Method, StatusCode};
 use std::time::Duration;
@@ -104,7 +104,7 @@
 pub(super) struct Target<'a> {
     pub(super) plane: &'a DataPlane,
     pub(super) service: &'a Service,
-    pub(super) slot: Slot,
+    pub(super) slot: BackendHandle,
     pub(super) backend: &'a Backend,
     pub(super) deadline: Micros,
 }
--- a/crates/galenapath-entry/src/data/dispatch.rs
+++ b/crates/galenapath-entry/src/data/dispatch.rs
@@ -11,7 +11,7 @@
 use super::request::number;
 use super::service::State;
 use galenapath_config::ClassKind;
-use galenapath_policy::{AttemptCount, MAX_ATTEMPTS, Slot, may_retry};
+use galenapath_policy::{AttemptCount, BackendHandle, MAX_ATTEMPTS, may_retry};
 use galenapath_protocol::{ATTEMPT_HEADER, BackendId, Micros, Verdict};
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -34,7 +34,7 @@
     /// Held while the request is a suspect that runs alone.
     trial: Option<Trial<'a>>,
     /// Backend servers tried already; borrowed only between two awaits.
-    tried: RefCell<Vec<Slot>>,
+    tried: RefCell<Vec<BackendHandle>>,
 }
 
 impl<'a> Dispatch<'a> {
@@ -110,7 +110,7 @@
     }
 
     /// Chooses the next backend server; one tried before only where no other is left.
-    pub(super) fn choose(&self) -> Option<Slot> {
+    pub(super) fn choose(&self) -> Option<BackendHandle> {
         let now = self.call.plane.now();
         let exclude = self.tried.borrow().clone();
         if self.trial.is_some() {
@@ -120,18 +120,18 @@
         let balancer = &mut state.balancer;
         if exclude.is_empty()
             && balancer.free_slots(now) == 0
-            && let Some(slot) = balancer.choose_crossing(now)
+            && let Some(slot) = balancer.choose_cross_domain(now)
         {
             return Some(slot);
         }
         // A filing that fails cannot be sent again, so it is no trial for a server in doubt.
         let is_filing = self.call.meta.class.kind == ClassKind::Filing;
-        let proven = if is_filing { balancer.choose_proven(now, &exclude) } else { None };
+        let proven = if is_filing { balancer.choose_without_trial(now, &exclude) } else { None };
         proven.or_else(|| balancer.choose(now, &exclude)).or_else(|| balancer.choose(now, &[]))
     }
 
     /// Chooses a backend server on which nothing else runs.
-    fn choose_alone(&self, mut exclude: Vec<Slot>) -> Option<Slot> {
+    fn choose_alone(&self, mut exclude: Vec<BackendHandle>) -> Option<BackendHandle> {
         let now = self.call.plane.now();
         loop {
             let slot = self.call.service.state.borrow_mut().balancer.choose(now, &exclude)?;
@@ -147,7 +147,7 @@
     pub(super) async fn attempt(
         &self,
         permit: &Permit,
-        slot: Slot,
+        slot: BackendHandle,
         before_send: impl FnOnce() -> bool,
     ) -> Result<Served, Fault> {
         self.tried.borrow_mut().push(slot);
--- a/crates/galenapath-entry/src/data/dispatching.rs
+++ b/crates/galenapath-entry/src/data/dispatching.rs
@@ -27,7 +27,7 @@
     pub(super) fn new() -> Self {
         Self {
             count: DispatcherCount::default(),
-            share: SettlingShare::new(SETTLE, SPLIT.starting_share()),
+            share: SettlingShare::new(SETTLE, SPLIT.initial_share()),
             chosen: Vec::new(),
             requests: 0,
         }
--- a/crates/galenapath-entry/src/data/lookup.rs
+++ b/crates/galenapath-entry/src/data/lookup.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use futures::future::{Either, select};
 use galenapath_http::{HttpError, RequestHead};
-use galenapath_policy::{Outcome, Slot};
+use galenapath_policy::{BackendHandle, Outcome};
 use galenapath_protocol::Verdict;
 use std::pin::pin;
 
@@ -126,7 +126,11 @@
 
 /// Tries the backend server in `slot`, and a second one when the first is slower than most: the
 /// first answer wins and the other attempt is cancelled, which closes its connection.
-async fn try_hedged(dispatch: &Dispatch<'_>, permit: &Permit, slot: Slot) -> Result<Served, Fault> {
+async fn try_hedged(
+    dispatch: &Dispatch<'_>,
+    permit: &Permit,
+    slot: BackendHandle,
+) -> Result<Served, Fault> {
     let started = dispatch.call.plane.now();
     let first = pin!(dispatch.attempt(permit, slot, || true));
     let Some(delay) = dispatch.hedge_delay() else { return first.await };
--- a/crates/galenapath-entry/src/data/permit.rs
+++ b/crates/galenapath-entry/src/data/permit.rs
@@ -6,7 +6,7 @@
 use super::service::Service;
 use futures::channel::oneshot;
 use futures::future::{Either, select};
-use galenapath_policy::{Decision, Offer, Outcome, Rejection, Slot, Step, Ticket};
+use galenapath_policy::{BackendHandle, Decision, Offer, Outcome, Rejection, Step, Ticket};
 use galenapath_protocol::Micros;
 use std::cell::Cell;
 use std::pin::pin;
@@ -178,14 +178,14 @@
     plane: Rc<DataPlane>,
     service: Rc<Service>,
     /// The backend server.
-    pub(super) slot: Slot,
+    pub(super) slot: BackendHandle,
     started: Micros,
     is_done: bool,
 }
 
 impl InFlight {
     /// Counts an attempt of an admitted request at `slot`.
-    pub(super) fn start(permit: &Permit, slot: Slot) -> Self {
+    pub(super) fn start(permit: &Permit, slot: BackendHandle) -> Self {
         permit.mark_sent();
         let (plane, service) = (&permit.plane, &permit.service);
         let started = plane.now();
--- a/crates/galenapath-entry/src/data/probes.rs
+++ b/crates/galenapath-entry/src/data/probes.rs
@@ -4,7 +4,7 @@
 use super::plane::DataPlane;
 use super::service::Service;
 use galenapath_http::{Framing, HttpError, put_request};
-use galenapath_policy::Slot;
+use galenapath_policy::BackendHandle;
 use galenapath_protocol::Micros;
 use http::{HeaderMap, Method};
 use std::rc::Rc;
@@ -61,7 +61,7 @@
     }
 }
 
-async fn probe(plane: &DataPlane, service: &Service, slot: Slot) -> Result<(), HttpError> {
+async fn probe(plane: &DataPlane, service: &Service, slot: BackendHandle) -> Result<(), HttpError> {
     let Some(backend) = service.backend(slot) else { return Ok(()) };
     let mut connection = backend.pool.checkout(PROBE_LIMIT).await?;
     let headers = HeaderMap::new();
--- a/crates/galenapath-entry/src/data/service.rs
+++ b/crates/galenapath-entry/src/data/service.rs
@@ -8,9 +8,9 @@
 use futures::channel::oneshot;
 use galenapath_config::{ClassKind, Config};
 use galenapath_policy::{
-    Admission, AdmissionConfig, BackendSpec, BackendState, Balancer, BalancerConfig, ChoicePolicy,
-    ClassIndex, ClassPolicy, HedgeConfig, HedgePolicy, RetryBudget, RetryConfig, Slot, Step,
-    Ticket, WorkLength,
+    Admission, AdmissionConfig, BackendHandle, BackendSpec, BackendState, Balancer, BalancerConfig,
+    ChoicePolicy, ClassIndex, ClassPolicy, HedgeConfig, HedgePolicy, RetryBudget, RetryConfig,
+    Step, Ticket, WorkLength,
 };
 use galenapath_protocol::{BackendId, FastMap, Incarnation, Micros, hash64};
 use galenapath_settings::Choice;
@@ -130,7 +130,7 @@
     }
 
     /// The backend server behind a slot.
-    pub(super) fn backend(&self, slot: Slot) -> Option<Rc<Backend>> {
+    pub(super) fn backend(&self, slot: BackendHandle) -> Option<Rc<Backend>> {
         let state = self.state.borrow();
         let id = state.balancer.backend(slot)?;
         state.backends.get(id).cloned()
@@ -144,7 +144,7 @@
         let waiting = u32::try_from(self.admission.waiting()).unwrap_or(u32::MAX);
         self.balancer.set_waiting(waiting);
         let free = self.balancer.free_slots(now);
-        let crosses = free == 0 && self.balancer.choose_crossing(now).is_some();
+        let crosses = free == 0 && self.balancer.choose_cross_domain(now).is_some();
         let room = free.max(u32::from(crosses)).saturating_sub(self.unsent);
         let admitted = u32::try_from(self.admission.in_flight()).unwrap_or(u32::MAX);
         self.admission.set_capacity(now, admitted.saturating_add(room));
--- a/crates/galenapath-gateway/src/addresses.rs
+++ b/crates/galenapath-gateway/src/addresses.rs
@@ -2,7 +2,7 @@
 
 use crate::instance::Instance;
 use galenapath_membership::{Member, Peer, Vitals};
-use galenapath_policy::dispatch::{AnswerConfig, Reachable, addresses_for};
+use galenapath_policy::dispatch::{AddressConfig, ReachableInstance, addresses_for};
 use galenapath_protocol::{DomainId, Micros};
 use std::net::SocketAddr;
 
@@ -17,29 +17,34 @@
     let seeds = &instance.settings().listen.seeds;
     let reachable = |member, vitals| reachable(member, vitals, seeds);
     let usable = beats.peers().filter(|peer| peer.is_usable());
-    let mut all: Vec<Reachable<'_>> =
+    let mut all: Vec<ReachableInstance<'_>> =
         usable.map(|peer| reachable(&peer.member, &peer.vitals)).collect();
     if instance.is_ready() {
         all.push(reachable(&own, &vitals));
     }
     leave_out_evacuated(instance, &mut all);
     let load = recent_load(instance, domain);
-    addresses_for(&AnswerConfig::default(), domain, &all, load)
+    addresses_for(&AddressConfig::default(), domain, &all, load)
 }
 
 /// Leaves out the instances of evacuated failure domains, where there are others: whatever they send and get
 /// crosses between domains.
-fn leave_out_evacuated(instance: &Instance, all: &mut Vec<Reachable<'_>>) {
+fn leave_out_evacuated(instance: &Instance, all: &mut Vec<ReachableInstance<'_>>) {
     let state = instance.state.borrow();
-    let is_evacuated =
-        |at: &Reachable<'_>| state.evacuations.in_force().any(|domain| &*domain.0 == at.domain);
+    let is_evacuated = |at: &ReachableInstance<'_>| {
+        state.evacuations.in_force().any(|domain| &*domain.0 == at.domain)
+    };
     if all.iter().any(|at| !is_evacuated(at)) {
         all.retain(|at| !is_evacuated(at));
     }
 }
 
-fn reachable<'a>(member: &'a Member, vitals: &Vitals, seeds: &[SocketAddr]) -> Reachable<'a> {
-    Reachable {
+fn reachable<'a>(
+    member: &'a Member,
+    vitals: &Vitals,
+    seeds: &[SocketAddr],
+) -> ReachableInstance<'a> {
+    ReachableInstance {
         name: &member.id.0,
         domain: &member.domain.0,
         address: member.callers,
@@ -63,7 +68,7 @@
     let (now, key) = (instance.now(), DomainId(domain.into()));
     let mut loads = instance.recent_loads.borrow_mut();
     let before = loads.get(&key).copied().unwrap_or_default();
-    let load = before.with(now, others.saturating_add(own));
+    let load = before.with_sample(now, others.saturating_add(own));
     // A caller may name any domain; those without instances need no memory.
     if load.get(now) > 0 {
         loads.insert(key, load);
--- a/crates/galenapath-gateway/src/instance.rs
+++ b/crates/galenapath-gateway/src/instance.rs
@@ -10,7 +10,7 @@
 use crate::usage::{Flow, Usage};
 use galenapath_filings::{SuspectConfig, Suspects};
 use galenapath_membership::{BeatConfig, Beats, Member, MemberStatus, StoreHealth, Vitals};
-use galenapath_policy::dispatch::RecentLoad;
+use galenapath_policy::dispatch::PeakLoad;
 use galenapath_policy::measure::{Crossings, QuestionTimes};
 use galenapath_policy::place::{Placement, spent};
 use galenapath_policy::{FailedRequests, LineBudget, LineKind};
@@ -76,7 +76,7 @@
     /// Requests that callers send.
     pub(crate) rate: Cell<Rate>,
     /// Requests that callers of each failure domain send.
-    pub(crate) recent_loads: RefCell<FastMap<DomainId, RecentLoad>>,
+    pub(crate) recent_loads: RefCell<FastMap<DomainId, PeakLoad>>,
     /// When a caller first asked where to connect; zero before.
     asked_at: Cell<Micros>,
     next_ticket: Cell<u64>,
--- a/crates/galenapath-policy/benches/decisions/event.rs
+++ b/crates/galenapath-policy/benches/decisions/event.rs
@@ -1,7 +1,7 @@
 //! The events of a run, in order of time.
 
 use super::scenario::Time;
-use galenapath_policy::{Outcome, Slot};
+use galenapath_policy::{BackendHandle, Outcome};
 use galenapath_protocol::LoadReport;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,8 +12,8 @@
     Reach { server: usize, req: usize },
     Work { server: usize, req: usize },
     Answer { req: usize, outcome: Outcome, report: LoadReport },
-    ReachProbe { instance: usize, server: usize, slot: Slot },
-    AnswerProbe { instance: usize, slot: Slot, report: LoadReport },
+    ReachProbe { instance: usize, server: usize, slot: BackendHandle },
+    AnswerProbe { instance: usize, slot: BackendHandle, report: LoadReport },
     Tick { instance: usize },
     List { instance: usize },
     Replace { instance: usize },
--- a/crates/galenapath-policy/benches/decisions/sim/admit.rs
+++ b/crates/galenapath-policy/benches/decisions/sim/admit.rs
@@ -43,7 +43,7 @@
     fn tell(&mut self, now: Micros, balancer: &mut Balancer) {
         balancer.set_waiting(self.admission.waiting() as u32);
         let free = balancer.free_slots(now);
-        let crosses = free == 0 && balancer.choose_crossing(now).is_some();
+        let crosses = free == 0 && balancer.choose_cross_domain(now).is_some();
         self.admission.set_capacity(now, self.in_flight + free.max(u32::from(crosses)));
     }
 
@@ -110,7 +110,7 @@
         let now = Micros(self.now);
         let entry = &mut self.entries[self.reqs[req].instance];
         let is_free = entry.balancer.free_slots(now) > 0;
-        let crossing = if is_free { None } else { entry.balancer.choose_crossing(now) };
+        let crossing = if is_free { None } else { entry.balancer.choose_cross_domain(now) };
         let slot = crossing.or_else(|| entry.balancer.choose(now, &self.reqs[req].tried));
         let Some(gate) = &mut entry.gate else { return };
         match slot {
--- a/crates/galenapath-policy/benches/decisions/sim/mod.rs
+++ b/crates/galenapath-policy/benches/decisions/sim/mod.rs
@@ -13,7 +13,7 @@
     Arrival, CALLERS, DOMAINS, INSTANCES, MEASURED_FROM, MS, Pattern, SECOND, Scenario, Time,
 };
 use super::stats::Stats;
-use galenapath_policy::{Balancer, BalancerConfig, ChoicePolicy, Outcome, Slot};
+use galenapath_policy::{BackendHandle, Balancer, BalancerConfig, ChoicePolicy, Outcome};
 use galenapath_protocol::{BackendId, DomainId, InstanceId, LoadReport, Micros};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -52,8 +52,8 @@
     arrival: Arrival,
     instance: usize,
     server: usize,
-    slot: Option<Slot>,
-    tried: Vec<Slot>,
+    slot: Option<BackendHandle>,
+    tried: Vec<BackendHandle>,
     tries: u8,
     sent_at: Time,
 }
@@ -235,7 +235,7 @@
             return;
         }
         entry.balancer.set_waiting(entry.queue.len() as u32 - 1);
-        if let Some(slot) = entry.balancer.choose_crossing(Micros(self.now)) {
+        if let Some(slot) = entry.balancer.choose_cross_domain(Micros(self.now)) {
             entry.queue.pop_back();
             self.send(req, slot);
         }
@@ -272,7 +272,7 @@
         }
     }
 
-    fn send(&mut self, req: usize, slot: Slot) {
+    fn send(&mut self, req: usize, slot: BackendHandle) {
         let instance = self.reqs[req].instance;
         let entry = &mut self.entries[instance];
         entry.balancer.start(Micros(self.now), slot);
--- a/crates/galenapath-policy/src/balance/balancer.rs
+++ b/crates/galenapath-policy/src/balance/balancer.rs
@@ -2,7 +2,7 @@
 
 use super::baseline::Candidate;
 use super::config::BalancerConfig;
-use super::handle::Slot;
+use super::handle::BackendHandle;
 use super::health::HealthEvent;
 use super::latency::{Lateness, ServiceLatency};
 use super::path::PathLatencies;
@@ -109,7 +109,7 @@
     fn add(&mut self, now: Micros, id: &BackendId) -> Option<usize> {
         let index = match self.servers.iter().position(Option::is_none) {
             Some(free) => free,
-            None if self.servers.len() <= Slot::MAX_INDEX => {
+            None if self.servers.len() <= BackendHandle::MAX_INDEX => {
                 self.servers.push(None);
                 self.generations.push(0);
                 self.servers.len() - 1
@@ -121,7 +121,7 @@
         let mut server = Server::new(id.clone(), generation, self.cfg.assumed_slots, probes);
         server.health.dispatchers = self.cfg.dispatchers;
         server.ramp_started_at = self.has_list.then_some(now);
-        self.generations[index] = Slot::next_generation(generation);
+        self.generations[index] = BackendHandle::next_generation(generation);
         self.servers[index] = Some(server);
         self.by_id.insert(id.clone(), index);
         Some(index)
@@ -153,20 +153,26 @@
     }
 
     /// Returns the name of a server; `None` when the handle is no longer valid.
-    pub fn backend(&self, handle: Slot) -> Option<&BackendId> {
+    pub fn backend(&self, handle: BackendHandle) -> Option<&BackendId> {
         let server = self.servers.get(handle.index())?.as_ref()?;
         (server.generation == handle.generation()).then_some(&server.id)
     }
 
     /// Records that a request is sent to the server.
-    pub fn start(&mut self, now: Micros, handle: Slot) {
+    pub fn start(&mut self, now: Micros, handle: BackendHandle) {
         if let Some(server) = self.server_mut(handle) {
             server.start(now);
         }
     }
 
     /// Records that a request ended, `latency` after it started.
-    pub fn finish(&mut self, now: Micros, handle: Slot, outcome: Outcome, latency: Micros) {
+    pub fn finish(
+        &mut self,
+        now: Micros,
+        handle: BackendHandle,
+        outcome: Outcome,
+        latency: Micros,
+    ) {
         let limits = self.latency.limits();
         let mean = self.latency.mean();
         let Some(server) = self.server_mut(handle) else { return };
@@ -198,7 +204,7 @@
 
     /// Records the load report that came with an answer or a probe. For an answer, call
     /// [`Self::finish`] first, because the report no longer counts the answered request.
-    pub fn report(&mut self, now: Micros, handle: Slot, report: LoadReport) {
+    pub fn report(&mut self, now: Micros, handle: BackendHandle, report: LoadReport) {
         let Some(is_local) = self.server_mut(handle).map(|s| s.is_local) else { return };
         let written_at = now - self.paths.round_trip(is_local);
         let Some(server) = self.server_mut(handle) else { return };
@@ -215,7 +221,7 @@
     }
 
     /// Marks the server as leaving; it is never chosen again.
-    pub fn mark_leaving(&mut self, handle: Slot) {
+    pub fn mark_leaving(&mut self, handle: BackendHandle) {
         if let Some(server) = self.server_mut(handle) {
             server.leaving = true;
         }
@@ -223,7 +229,7 @@
 
     /// Returns a server to probe now and charges the probe to its budget; `None` when no server is
     /// stale and within its budget.
-    pub fn next_probe(&mut self, now: Micros) -> Option<Slot> {
+    pub fn next_probe(&mut self, now: Micros) -> Option<BackendHandle> {
         let entries = self.servers.len();
         for step in 0..entries {
             let index = (self.next_probe_index + step) % entries;
@@ -249,12 +255,12 @@
         }
     }
 
-    pub(super) fn handle(&self, index: usize) -> Option<Slot> {
+    pub(super) fn handle(&self, index: usize) -> Option<BackendHandle> {
         let server = self.servers.get(index)?.as_ref()?;
-        Some(Slot::new(index, server.generation))
+        Some(BackendHandle::new(index, server.generation))
     }
 
-    fn server_mut(&mut self, handle: Slot) -> Option<&mut Server> {
+    fn server_mut(&mut self, handle: BackendHandle) -> Option<&mut Server> {
         let server = self.servers.get_mut(handle.index())?.as_mut()?;
         (server.generation == handle.generation()).then_some(server)
     }
--- a/crates/galenapath-policy/src/balance/choice.rs
+++ b/crates/galenapath-policy/src/balance/choice.rs
@@ -12,7 +12,7 @@
 use super::balancer::Balancer;
 use super::baseline::{self, Candidate};
 use super::config::ChoicePolicy;
-use super::handle::Slot;
+use super::handle::BackendHandle;
 use super::health::HealthStatus;
 use super::server::Server;
 use galenapath_protocol::Micros;
@@ -68,22 +68,26 @@
 impl Balancer {
     /// Chooses a server for one request; `None` when no server can take one now. Servers in
     /// `exclude` (those that the request has already tried) and leaving servers are never chosen.
-    pub fn choose(&mut self, now: Micros, exclude: &[Slot]) -> Option<Slot> {
+    pub fn choose(&mut self, now: Micros, exclude: &[BackendHandle]) -> Option<BackendHandle> {
         self.choose_with(now, exclude, TrialRule::Allowed)
     }
 
     /// Like [`Self::choose`], but never uses the request as a trial of an ejected server. For
     /// requests that cannot be retried after a failure.
-    pub fn choose_proven(&mut self, now: Micros, exclude: &[Slot]) -> Option<Slot> {
+    pub fn choose_without_trial(
+        &mut self,
+        now: Micros,
+        exclude: &[BackendHandle],
+    ) -> Option<BackendHandle> {
         self.choose_with(now, exclude, TrialRule::Forbidden)
     }
 
     fn choose_with(
         &mut self,
         now: Micros,
-        exclude: &[Slot],
+        exclude: &[BackendHandle],
         trial_rule: TrialRule,
-    ) -> Option<Slot> {
+    ) -> Option<BackendHandle> {
         self.record_late_requests(now);
         let index = match self.cfg.policy {
             ChoicePolicy::Galenapath => self.choose_least_cost(now, exclude, trial_rule),
@@ -92,12 +96,13 @@
         self.handle(index)
     }
 
-    fn choose_baseline(&mut self, exclude: &[Slot]) -> Option<usize> {
+    fn choose_baseline(&mut self, exclude: &[BackendHandle]) -> Option<usize> {
         let mut candidates = std::mem::take(&mut self.candidates);
         candidates.clear();
         for (index, server) in self.servers.iter().enumerate() {
             let Some(server) = server else { continue };
-            if server.is_open() && !exclude.contains(&Slot::new(index, server.generation)) {
+            if server.is_open() && !exclude.contains(&BackendHandle::new(index, server.generation))
+            {
                 candidates.push(Candidate { index, in_flight: server.in_flight() });
             }
         }
@@ -118,7 +123,7 @@
     fn choose_least_cost(
         &mut self,
         now: Micros,
-        exclude: &[Slot],
+        exclude: &[BackendHandle],
         trial_rule: TrialRule,
     ) -> Option<usize> {
         let exclude_unhealthy = self.excludes_unhealthy(now);
@@ -126,7 +131,8 @@
         let mut best = Best::NONE;
         for (index, server) in self.servers.iter().enumerate() {
             let Some(server) = server else { continue };
-            if !server.is_open() || exclude.contains(&Slot::new(index, server.generation)) {
+            if !server.is_open() || exclude.contains(&BackendHandle::new(index, server.generation))
+            {
                 continue;
             }
             let status = server.health.status(now, server.in_flight() == 0);
@@ -218,7 +224,7 @@
 
     /// Chooses a server in another failure domain for a request that has just arrived, if its wait
     /// for a local slot would be longer than a cross-domain send takes. `None` if it should wait.
-    pub fn choose_crossing(&mut self, now: Micros) -> Option<Slot> {
+    pub fn choose_cross_domain(&mut self, now: Micros) -> Option<BackendHandle> {
         let local_wait = self.local_wait();
         if self.cfg.policy != ChoicePolicy::Galenapath
             || local_wait <= self.paths.cross_domain_cost()
--- a/crates/galenapath-policy/src/balance/handle.rs
+++ b/crates/galenapath-policy/src/balance/handle.rs
@@ -5,14 +5,14 @@
 /// It holds an index into the server table and the generation of that table entry. The handle of a
 /// removed server therefore stays invalid when its entry is reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Slot(u32);
+pub struct BackendHandle(u32);
 
 /// Bits of a handle that hold the index; the others hold the generation.
 const INDEX_BITS: u32 = 20;
 const INDEX_MASK: u32 = (1 << INDEX_BITS) - 1;
 const GENERATION_MASK: u32 = (1 << (u32::BITS - INDEX_BITS)) - 1;
 
-impl Slot {
+impl BackendHandle {
     /// Largest index into the server table.
     pub(super) const MAX_INDEX: usize = INDEX_MASK as usize;
 
--- a/crates/galenapath-policy/src/balance/mod.rs
+++ b/crates/galenapath-policy/src/balance/mod.rs
@@ -18,5 +18,5 @@
 
 pub use balancer::Balancer;
 pub use config::{BalancerConfig, ChoicePolicy};
-pub use handle::Slot;
+pub use handle::BackendHandle;
 pub use spec::{BackendSpec, BackendState};
--- a/crates/galenapath-policy/src/dispatch/addresses.rs
+++ b/crates/galenapath-policy/src/dispatch/addresses.rs
@@ -23,7 +23,7 @@
 
 /// Configuration of [`addresses_for`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerConfig {
+pub struct AddressConfig {
     /// Minimum number of instances of the caller's failure domain. A single instance that can
     /// handle the load knows all traffic of the domain; see the module documentation.
     pub min_local: usize,
@@ -40,7 +40,7 @@
     pub max_load_factor: u32,
 }
 
-impl Default for AnswerConfig {
+impl Default for AddressConfig {
     fn default() -> Self {
         Self {
             min_local: 1,
@@ -67,15 +67,15 @@
 /// Peak rate, in requests per second, of the callers of one failure domain. It decays over time and
 /// is kept when the instances that received the requests are lost.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RecentLoad {
+pub struct PeakLoad {
     peak: f64,
     at: Micros,
 }
 
-impl RecentLoad {
+impl PeakLoad {
     /// Returns the peak updated with `load` requests per second at `now`.
     #[must_use]
-    pub fn with(self, now: Micros, load: u32) -> Self {
+    pub fn with_sample(self, now: Micros, load: u32) -> Self {
         Self { peak: f64::from(load).max(f64::from(self.get(now))), at: now }
     }
 
@@ -88,7 +88,7 @@
 
 /// An instance whose address callers may receive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reachable<'a> {
+pub struct ReachableInstance<'a> {
     /// Name of the instance.
     pub name: &'a str,
     /// Failure domain that it runs in.
@@ -103,7 +103,7 @@
     pub is_seed: bool,
 }
 
-impl Reachable<'_> {
+impl ReachableInstance<'_> {
     /// Requests per second that it can take from callers of `domain`. In another domain, the
     /// requests of its own callers are subtracted.
     fn available_capacity(&self, domain: &str) -> u32 {
@@ -117,12 +117,12 @@
 /// share it: each of all instances would know too little of the servers' load, and a few could be
 /// overloaded.
 pub fn addresses_for(
-    cfg: &AnswerConfig,
+    cfg: &AddressConfig,
     domain: &str,
-    reachable: &[Reachable<'_>],
+    reachable: &[ReachableInstance<'_>],
     load: Option<u32>,
 ) -> Vec<SocketAddr> {
-    let mut ranked: Vec<&Reachable<'_>> = reachable.iter().collect();
+    let mut ranked: Vec<&ReachableInstance<'_>> = reachable.iter().collect();
     ranked.sort_by_key(|instance| {
         let order = hash64(INSTANCE_ORDER_SEED, instance.name.as_bytes());
         let capacity = std::cmp::Reverse(instance.available_capacity(domain));
@@ -147,7 +147,7 @@
 /// If many small instances are needed to stay within capacity, a few large ones are used beyond
 /// theirs instead, up to `cfg.max_load_factor`. Each of many instances would know almost nothing of
 /// the servers' load and would get almost none of the budget for load queries.
-fn instances_needed(capacities: &[u32], load: u32, cfg: &AnswerConfig) -> usize {
+fn instances_needed(capacities: &[u32], load: u32, cfg: &AddressConfig) -> usize {
     let mut smallest = u32::MAX;
     let total_capacity: Vec<u32> = capacities
         .iter()
--- a/crates/galenapath-policy/src/dispatch/connections.rs
+++ b/crates/galenapath-policy/src/dispatch/connections.rs
@@ -49,7 +49,7 @@
     ///
     /// An instance that has just started sees only itself, so `share` would allot it the whole half
     /// of the limit. Several instances that start at once would exceed the limit within a second.
-    pub fn starting_share(&self) -> u32 {
+    pub fn initial_share(&self) -> u32 {
         self.share(DEFAULT_INSTANCES, DEFAULT_INSTANCES, false)
     }
 }
--- a/crates/galenapath-policy/src/dispatch/mod.rs
+++ b/crates/galenapath-policy/src/dispatch/mod.rs
@@ -7,7 +7,7 @@
 mod dispatcher_choice;
 mod rendezvous;
 
-pub use addresses::{AnswerConfig, Reachable, RecentLoad, addresses_for};
+pub use addresses::{AddressConfig, PeakLoad, ReachableInstance, addresses_for};
 pub use connections::{ConnectionSplit, SettlingShare};
 pub use count::{CountConfig, DispatcherCount};
 pub use dispatcher_choice::{DispatcherLoad, choose_dispatcher};
--- a/crates/galenapath-policy/src/lib.rs
+++ b/crates/galenapath-policy/src/lib.rs
@@ -25,7 +25,9 @@
     Admission, AdmissionConfig, ClassIndex, ClassPolicy, Decision, LimitConfig, LimitRule, Offer,
     RejectReason, Rejection, Step, Ticket, WorkLength, WorkspaceIndex,
 };
-pub use balance::{BackendSpec, BackendState, Balancer, BalancerConfig, ChoicePolicy, Slot};
+pub use balance::{
+    BackendHandle, BackendSpec, BackendState, Balancer, BalancerConfig, ChoicePolicy,
+};
 pub use lines::{LineBudget, LineKind};
 pub use outcome::Outcome;
 pub use retry::{
--- a/crates/galenapath-policy/tests/balance/choice.rs
+++ b/crates/galenapath-policy/tests/balance/choice.rs
@@ -78,9 +78,9 @@
         balancer.start(now, handle);
     }
     balancer.set_waiting(0);
-    assert_eq!(balancer.choose_crossing(now), None);
+    assert_eq!(balancer.choose_cross_domain(now), None);
     balancer.set_waiting(12);
-    let remote = balancer.choose_crossing(now).unwrap();
+    let remote = balancer.choose_cross_domain(now).unwrap();
     assert_eq!(&*balancer.backend(remote).unwrap().0, "f0");
 }
 
@@ -182,8 +182,8 @@
                     for method in 0..3 {
                         let choice = match method {
                             0 => balancer.choose(now, &[]),
-                            1 => balancer.choose_crossing(now),
-                            _ => balancer.choose_proven(now, &[]),
+                            1 => balancer.choose_cross_domain(now),
+                            _ => balancer.choose_without_trial(now, &[]),
                         };
                         let Some(handle) = choice else { continue };
                         let id = balancer.backend(handle).unwrap().clone();
--- a/crates/galenapath-policy/tests/balance/health.rs
+++ b/crates/galenapath-policy/tests/balance/health.rs
@@ -1,11 +1,15 @@
 use crate::support::{MS, TYPICAL_LATENCY, count_choices, handle, handles, warmed_up};
-use galenapath_policy::{Balancer, Outcome, Slot};
+use galenapath_policy::{BackendHandle, Balancer, Outcome};
 use galenapath_protocol::Micros;
 
 const SERVERS: usize = 5;
 
 /// Sends two requests to each server; all are answered on time except those to `straggler`.
-fn start_round_with_straggler(balancer: &mut Balancer, now: Micros, straggler: Slot) -> Micros {
+fn start_round_with_straggler(
+    balancer: &mut Balancer,
+    now: Micros,
+    straggler: BackendHandle,
+) -> Micros {
     let all = handles(balancer, now);
     for handle in all.iter().flat_map(|s| [*s, *s]) {
         balancer.start(now, handle);
@@ -17,7 +21,7 @@
     now
 }
 
-fn fail(balancer: &mut Balancer, now: Micros, handle: Slot, times: usize) {
+fn fail(balancer: &mut Balancer, now: Micros, handle: BackendHandle, times: usize) {
     for _ in 0..times {
         balancer.start(now, handle);
         balancer.finish(now, handle, Outcome::FastFailure, Micros(200));
@@ -78,7 +82,7 @@
     let failing = handle(&mut balancer, now, "h0");
     fail(&mut balancer, now, failing, 3);
     let now = now + Micros(100 * MS);
-    assert_ne!(balancer.choose_proven(now, &[]), Some(failing));
+    assert_ne!(balancer.choose_without_trial(now, &[]), Some(failing));
     assert_eq!(balancer.choose(now, &[]), Some(failing));
 }
 
--- a/crates/galenapath-policy/tests/balance/path.rs
+++ b/crates/galenapath-policy/tests/balance/path.rs
@@ -22,6 +22,10 @@
         (0..6).for_each(|_| balancer.start(now, local));
         // Nine waiting requests of 5 ms for six slots make a wait of about 8 ms.
         balancer.set_waiting(9);
-        assert_eq!(balancer.choose_crossing(now).is_some(), is_worth_it, "{cross_domain_delay:?}");
+        assert_eq!(
+            balancer.choose_cross_domain(now).is_some(),
+            is_worth_it,
+            "{cross_domain_delay:?}"
+        );
     }
 }
--- a/crates/galenapath-policy/tests/balance/support.rs
+++ b/crates/galenapath-policy/tests/balance/support.rs
@@ -1,6 +1,8 @@
 //! Helpers that create a balancer and drive it through requests, answers and reports.
 
-use galenapath_policy::{BackendSpec, BackendState, Balancer, BalancerConfig, Outcome, Slot};
+use galenapath_policy::{
+    BackendHandle, BackendSpec, BackendState, Balancer, BalancerConfig, Outcome,
+};
 use galenapath_protocol::{BackendId, DomainId, LoadReport, Micros};
 
 pub const MS: u64 = 1_000;
@@ -56,7 +58,7 @@
 }
 
 /// Returns the handles of all servers that can be chosen.
-pub fn handles(balancer: &mut Balancer, now: Micros) -> Vec<Slot> {
+pub fn handles(balancer: &mut Balancer, now: Micros) -> Vec<BackendHandle> {
     let mut found = Vec::new();
     while let Some(handle) = balancer.choose(now, &found) {
         found.push(handle);
@@ -64,14 +66,19 @@
     found
 }
 
-pub fn handle(balancer: &mut Balancer, now: Micros, name: &str) -> Slot {
+pub fn handle(balancer: &mut Balancer, now: Micros, name: &str) -> BackendHandle {
     let all = handles(balancer, now);
-    let is_named = |s: &Slot| balancer.backend(*s).is_some_and(|id| *id.0 == *name);
+    let is_named = |s: &BackendHandle| balancer.backend(*s).is_some_and(|id| *id.0 == *name);
     all.into_iter().find(is_named).unwrap_or_else(|| panic!("no open server {name}"))
 }
 
 /// Returns how many of `rounds` choices fall on the server.
-pub fn count_choices(balancer: &mut Balancer, now: Micros, handle: Slot, rounds: usize) -> usize {
+pub fn count_choices(
+    balancer: &mut Balancer,
+    now: Micros,
+    handle: BackendHandle,
+    rounds: usize,
+) -> usize {
     let mut count = 0;
     for _ in 0..rounds {
         count += usize::from(balancer.choose(now, &[]) == Some(handle));
--- a/crates/galenapath-policy/tests/dispatch/addresses.rs
+++ b/crates/galenapath-policy/tests/dispatch/addresses.rs
@@ -1,4 +1,4 @@
-use galenapath_policy::dispatch::{AnswerConfig, Reachable, RecentLoad, addresses_for};
+use galenapath_policy::dispatch::{AddressConfig, PeakLoad, ReachableInstance, addresses_for};
 use galenapath_protocol::Micros;
 use std::net::SocketAddr;
 
@@ -14,10 +14,10 @@
     TestInstance { name: format!("{domain}-{n}"), domain, rate, capacity, is_seed: false }
 }
 
-fn reachable(all: &[TestInstance]) -> Vec<Reachable<'_>> {
+fn reachable(all: &[TestInstance]) -> Vec<ReachableInstance<'_>> {
     let ports = all.iter().zip(9_000_u16..);
     ports
-        .map(|(instance, port)| Reachable {
+        .map(|(instance, port)| ReachableInstance {
             name: &instance.name,
             domain: instance.domain,
             address: SocketAddr::from(([127, 0, 0, 1], port)),
@@ -29,11 +29,11 @@
 }
 
 fn addresses(all: &[TestInstance], domain: &str, is_load_known: bool) -> Vec<SocketAddr> {
-    addresses_with(&AnswerConfig::default(), all, domain, is_load_known)
+    addresses_with(&AddressConfig::default(), all, domain, is_load_known)
 }
 
 fn addresses_with(
-    cfg: &AnswerConfig,
+    cfg: &AddressConfig,
     all: &[TestInstance],
     domain: &str,
     is_load_known: bool,
@@ -95,7 +95,7 @@
     // small one.
     let mut all: Vec<TestInstance> = (0..20).map(|n| instance(n, "a", 0, 60)).collect();
     all.push(instance(20, "a", 280, 250));
-    let within_capacity = AnswerConfig { max_load_factor: 1, ..AnswerConfig::default() };
+    let within_capacity = AddressConfig { max_load_factor: 1, ..AddressConfig::default() };
     let chosen = addresses_with(&within_capacity, &all, "a", true);
     assert_eq!(chosen.len(), 5);
     assert_eq!(chosen[0].port(), 9_020);
@@ -123,7 +123,7 @@
 
 #[test]
 fn addresses_for_min_two_at_least_two() {
-    let at_least_two = AnswerConfig { min_local: 2, min: 2, ..AnswerConfig::default() };
+    let at_least_two = AddressConfig { min_local: 2, min: 2, ..AddressConfig::default() };
     let chosen = addresses_with(&at_least_two, &fleet(0), "a", true);
     assert_eq!(chosen.len(), 2);
     assert!(chosen.iter().all(|address| address.port() < 9_006));
@@ -168,7 +168,7 @@
     all.extend((2..6).map(|n| instance(n, "b", 100, 300)));
     let reachable = reachable(&all);
     let chosen = |domain, load| {
-        addresses_for(&AnswerConfig::default(), domain, &reachable, Some(load)).len()
+        addresses_for(&AddressConfig::default(), domain, &reachable, Some(load)).len()
     };
     assert_eq!(chosen("a", 100), 2);
     assert_eq!(chosen("a", 300), 2);
@@ -183,10 +183,10 @@
     let small: Vec<TestInstance> = (0..20).map(|n| instance(n, "a", 0, 60)).collect();
     let reachable = reachable(&small);
     let at = Micros::from_secs(100);
-    let load = RecentLoad::default().with(at, 170);
-    let decayed = load.with(at + Micros::from_millis(50), 0);
+    let load = PeakLoad::default().with_sample(at, 170);
+    let decayed = load.with_sample(at + Micros::from_millis(50), 0);
     let load = decayed.get(at + Micros::from_millis(50));
-    let chosen = addresses_for(&AnswerConfig::default(), "a", &reachable, Some(load));
+    let chosen = addresses_for(&AddressConfig::default(), "a", &reachable, Some(load));
     assert_eq!(chosen.len(), 3);
     // The peak decays.
     assert!(decayed.get(at + Micros::from_secs(20)) < 10);
--- a/crates/galenapath-policy/tests/dispatch/connections.rs
+++ b/crates/galenapath-policy/tests/dispatch/connections.rs
@@ -25,7 +25,7 @@
 fn initial_share_all_instances_replaced_within_limit() {
     let split = ConnectionSplit { limit: LIMIT };
     let old = 3 * share((16, 3), true) + 13 * share((16, 3), false);
-    assert!(old + 16 * split.starting_share() <= LIMIT);
+    assert!(old + 16 * split.initial_share() <= LIMIT);
     // Without the initial share, two instances that see only themselves would exceed the limit.
     assert!(old + 2 * share((1, 1), true) > LIMIT);
 }
