--- a/crates/galenapath-policy/benches/decisions/cost.rs
+++ b/crates/galenapath-policy/benches/decisions/cost.rs
@@ -1,4 +1,4 @@
-//! What a decision costs, in time and memory, and how that grows with the fleet.
+//! Time and memory cost of a decision, by the size of the fleet.
 
 use galenapath_policy::dispatch::{Instance, dispatchers};
 use galenapath_policy::{BackendSpec, BackendState, Balancer, BalancerConfig, Outcome};
@@ -11,7 +11,7 @@
 const IN_FLIGHT: usize = 60;
 const CHOOSE_AIM: Duration = Duration::from_micros(2);
 
-/// One size of fleet.
+/// Size of a fleet.
 #[derive(Clone, Copy)]
 struct Size {
     services: usize,
@@ -43,14 +43,14 @@
          per service | dispatchers, us per service |"
     );
     println!("|---|---|---|---|---|---|---|");
-    // Kept, so that no fleet is built in memory that another has freed.
+    // Keeps each fleet, so that none reuses memory that another has freed.
     let mut kept = Vec::new();
     for size in SIZES {
         kept.push(print_fleet(size));
     }
 }
 
-/// Time of `choose` alone, and of all calls that one request makes.
+/// Returns the time of `choose` alone and of all calls for one request.
 fn time_requests(servers: usize) -> (Duration, Duration) {
     let mut balancer = balancer(0, servers);
     let started = Instant::now();
@@ -63,23 +63,23 @@
     (started.elapsed() / ROUNDS as u32, request)
 }
 
-/// Requests one after the other with `IN_FLIGHT` of them in flight; returns the time reached.
+/// Starts `rounds` requests with up to `IN_FLIGHT` in flight; returns the virtual time at the end.
 fn run(balancer: &mut Balancer, rounds: u64) -> Micros {
     let report = LoadReport { in_flight: 4, waiting: 0, slots: 6, leaving: false, pace: 0 };
-    let mut flights = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     let mut now = Micros::ZERO;
     for i in 0..rounds {
         now = now + Micros(80 + i % 7);
         black_box(balancer.free_slots(now));
-        if let Some(slot) = balancer.choose(now, &[]) {
-            balancer.start(now, slot);
-            flights.push_back((slot, now));
+        if let Some(handle) = balancer.choose(now, &[]) {
+            balancer.start(now, handle);
+            in_flight.push_back((handle, now));
         }
-        if flights.len() > IN_FLIGHT
-            && let Some((slot, started)) = flights.pop_front()
+        if in_flight.len() > IN_FLIGHT
+            && let Some((handle, started)) = in_flight.pop_front()
         {
-            balancer.finish(now, slot, Outcome::Answered, now - started);
-            balancer.report(now, slot, report);
+            balancer.finish(now, handle, Outcome::Answered, now - started);
+            balancer.report(now, handle, report);
         }
     }
     now
@@ -148,7 +148,7 @@
     DomainId(format!("domain-{}", i % DOMAINS).into())
 }
 
-/// Resident memory of the process; zero where the system does not tell.
+/// Resident memory of the process; zero if the system does not report it.
 fn resident_kib() -> u64 {
     const PAGE_KIB: u64 = 4;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/galenapath-policy/benches/decisions/event.rs
+++ b/crates/galenapath-policy/benches/decisions/event.rs
@@ -1,4 +1,4 @@
-//! The events of a run, in order of time.
+//! Events of a simulation run, in time order.
 
 use super::scenario::Time;
 use galenapath_policy::{BackendHandle, Outcome};
@@ -6,34 +6,34 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What happens at a moment.
+/// A simulated event.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    Reach { server: usize, req: usize },
-    Work { server: usize, req: usize },
+    ReachServer { server: usize, req: usize },
+    WorkDone { server: usize, req: usize },
     Answer { req: usize, outcome: Outcome, report: LoadReport },
-    ReachProbe { instance: usize, server: usize, slot: BackendHandle },
-    AnswerProbe { instance: usize, slot: BackendHandle, report: LoadReport },
+    ReachProbe { instance: usize, server: usize, handle: BackendHandle },
+    AnswerProbe { instance: usize, handle: BackendHandle, report: LoadReport },
     Tick { instance: usize },
-    List { instance: usize },
-    Replace { instance: usize },
-    Repin { caller: usize },
+    RefreshServers { instance: usize },
+    ReplaceInstance { instance: usize },
+    ReassignCaller { caller: usize },
 }
 
-/// Events to come; those of the same moment come in the order in which they were added.
+/// Queue of future events. Events with the same time are returned in insertion order.
 #[derive(Default)]
-pub struct Events {
-    heap: BinaryHeap<Reverse<Timed>>,
+pub struct EventQueue {
+    heap: BinaryHeap<Reverse<TimedEvent>>,
     sequence: u64,
 }
 
-impl Events {
+impl EventQueue {
     pub fn add(&mut self, at: Time, event: Event) {
         self.sequence += 1;
-        self.heap.push(Reverse(Timed { at, sequence: self.sequence, event }));
+        self.heap.push(Reverse(TimedEvent { at, sequence: self.sequence, event }));
     }
 
-    /// The next event that is due by `until`.
+    /// Removes and returns the next event that is due by `until`.
     pub fn next_until(&mut self, until: Time) -> Option<(Time, Event)> {
         if self.heap.peek()?.0.at > until {
             return None;
@@ -42,24 +42,24 @@
     }
 }
 
-struct Timed {
+struct TimedEvent {
     at: Time,
     sequence: u64,
     event: Event,
 }
 
-impl PartialEq for Timed {
+impl PartialEq for TimedEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
-impl Eq for Timed {}
-impl PartialOrd for Timed {
+impl Eq for TimedEvent {}
+impl PartialOrd for TimedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Timed {
+impl Ord for TimedEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
--- a/crates/galenapath-policy/benches/decisions/fleet.rs
+++ b/crates/galenapath-policy/benches/decisions/fleet.rs
@@ -1,4 +1,4 @@
-//! Backend servers: slots, a queue, and what goes wrong with them.
+//! Simulated backend servers with slots, a queue and the faults of the load patterns.
 
 use super::scenario::{MEASURED_FROM, MS, Pattern, SECOND, SERVERS, SLOTS, Time};
 use galenapath_protocol::LoadReport;
@@ -6,17 +6,17 @@
 
 const STRAGGLER_FACTOR: f64 = 10.0;
 const COLD_FACTOR: f64 = 4.0;
-const COLD_FOR: Time = 500 * MS;
-/// A leaving server still takes requests for this long, then refuses them.
-const TAKES_WHILE_LEAVING: Time = 2 * SECOND;
-const LONGEST_QUEUE: usize = 64;
+const COLD_TIME: Time = 500 * MS;
+/// Time for which a leaving server still accepts requests before it rejects them.
+const ACCEPTS_WHILE_LEAVING: Time = 2 * SECOND;
+const MAX_QUEUE: usize = 64;
 const REPLACED: usize = 10;
 const REPLACE_EVERY: Time = 100 * MS;
-/// Time between the listing of a replacement and the leaving of the old server.
+/// Time from the listing of a replacement until the old server starts leaving.
 const SURGE: Time = 800 * MS;
 const STALE_REPORT: Time = 100 * MS;
 
-/// What a server does with a request that reaches it.
+/// Reaction of a server to a request that reaches it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reception {
     Started,
@@ -34,11 +34,11 @@
     queue: VecDeque<usize>,
     pattern: Pattern,
     index: usize,
-    /// Report of `BadReports`, renewed seldom.
+    /// Outdated report of `BadReports`, with the time at which it was written.
     stale: (Time, LoadReport),
 }
 
-/// All servers of the pattern, replacements included.
+/// Returns all servers of the pattern, including replacements.
 pub fn servers(pattern: Pattern, domains: usize) -> Vec<Server> {
     let replaced = if pattern == Pattern::RollingServers { REPLACED } else { 0 };
     let new = |index: usize| Server {
@@ -62,11 +62,11 @@
 }
 
 impl Server {
-    pub fn takes_requests(&self, at: Time) -> bool {
-        at < self.leaving_from.saturating_add(TAKES_WHILE_LEAVING)
+    pub fn accepts_requests(&self, at: Time) -> bool {
+        at < self.leaving_from.saturating_add(ACCEPTS_WHILE_LEAVING)
     }
 
-    pub fn is_good(&self, at: Time) -> bool {
+    pub fn is_healthy(&self, at: Time) -> bool {
         let is_up = self.listed_from <= at && at < self.leaving_from;
         is_up && self.factor(at) < 2.0 && !self.fails(at)
     }
@@ -75,15 +75,15 @@
         self.pattern == Pattern::FastFailure && self.index == 0 && at >= MEASURED_FROM
     }
 
-    /// How many times longer work takes than at full speed.
+    /// Slowdown of the server: the time that work takes relative to full speed.
     pub fn factor(&self, at: Time) -> f64 {
         let is_straggler = self.pattern == Pattern::Straggler && self.index == 0;
         if is_straggler && at >= MEASURED_FROM {
             return STRAGGLER_FACTOR;
         }
         let age = at.saturating_sub(self.listed_from);
-        if self.listed_from > 0 && age < COLD_FOR {
-            let warm = age as f64 / COLD_FOR as f64;
+        if self.listed_from > 0 && age < COLD_TIME {
+            let warm = age as f64 / COLD_TIME as f64;
             return COLD_FACTOR + (1.0 - COLD_FACTOR) * warm;
         }
         1.0
@@ -93,7 +93,7 @@
         if self.fails(at) {
             return Reception::FailedFast;
         }
-        if !self.takes_requests(at) || self.queue.len() >= LONGEST_QUEUE {
+        if !self.accepts_requests(at) || self.queue.len() >= MAX_QUEUE {
             return Reception::Refused;
         }
         if self.running < SLOTS {
@@ -104,8 +104,8 @@
         Reception::Queued
     }
 
-    /// A request is done; returns the one that starts in its slot.
-    pub fn done(&mut self) -> Option<usize> {
+    /// Ends a running request; returns the queued request that starts in its slot.
+    pub fn finish_request(&mut self) -> Option<usize> {
         let next = self.queue.pop_front();
         if next.is_none() {
             self.running -= 1;
--- a/crates/galenapath-policy/benches/decisions/limit.rs
+++ b/crates/galenapath-policy/benches/decisions/limit.rs
@@ -1,14 +1,16 @@
-//! The limit: one central queue that knows every free slot at once, and which servers are slow,
-//! cold, failing or leaving, and gives them nothing. No crossing, no delay but the caller's.
+//! Upper limit of any policy: one central queue with full knowledge of the free slots, which sends
+//! nothing to servers that are slow, cold, failing or leaving. There are no cross-domain sends and
+//! no network delays except to the caller.
 
 use super::fleet::{self, Server};
 use super::scenario::{Arrival, SLOTS, Scenario, Time};
-use super::sim::{LOCAL_DELAY, LONGEST_WAIT};
+use super::sim::{LOCAL_DELAY, MAX_WAIT};
 use super::stats::Stats;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-pub fn play(scenario: &Scenario, domains: usize) -> Stats {
+/// Runs the scenario under the limit.
+pub fn run(scenario: &Scenario, domains: usize) -> Stats {
     let servers = fleet::servers(scenario.pattern, domains);
     let mut limit = Limit::new(*scenario, servers);
     for arrival in scenario.arrivals() {
@@ -26,7 +28,7 @@
     servers: Vec<Server>,
     busy: Vec<u32>,
     queue: VecDeque<Arrival>,
-    /// Ends of running requests, with their server.
+    /// End time and server of each running request.
     running: BinaryHeap<Reverse<(Time, usize)>>,
     stats: Stats,
 }
@@ -56,19 +58,19 @@
 
     fn start_waiting(&mut self, now: Time) {
         while let Some(&arrival) = self.queue.front() {
-            if now - arrival.at > LONGEST_WAIT {
+            if now - arrival.at > MAX_WAIT {
                 self.queue.pop_front();
                 self.stats.reject(arrival.at);
                 continue;
             }
-            let is_free = |i: &usize| self.busy[*i] < SLOTS && self.servers[*i].is_good(now);
+            let is_free = |i: &usize| self.busy[*i] < SLOTS && self.servers[*i].is_healthy(now);
             let Some(server) = (0..self.servers.len()).find(is_free) else { return };
             self.queue.pop_front();
             self.busy[server] += 1;
             let work = (arrival.work as f64 * self.servers[server].factor(now)) as Time;
             self.running.push(Reverse((now + work, server)));
             let wait = now + work - arrival.at - arrival.work + 2 * LOCAL_DELAY;
-            let latency = wait + arrival.work + 2 * self.scenario.deployment.client;
+            let latency = wait + arrival.work + 2 * self.scenario.deployment.client_delay;
             self.stats.answer(&arrival, latency, wait);
         }
     }
--- a/crates/galenapath-policy/benches/decisions/main.rs
+++ b/crates/galenapath-policy/benches/decisions/main.rs
@@ -1,7 +1,7 @@
-//! Plays patterns of load in virtual time through the code that ships, beside baselines and the
-//! limit, and prints the tables of `docs/MEASUREMENTS.md`.
+//! Simulates load patterns in virtual time with the production code, with baselines and with the
+//! theoretical limit, and prints the tables of `docs/MEASUREMENTS.md`.
 //!
-//! `cargo bench --bench decisions [-- WORD]` plays the rows whose name contains `WORD`.
+//! `cargo bench --bench decisions [-- WORD]` runs the scenarios whose title contains `WORD`.
 
 mod admission;
 mod aims;
@@ -15,37 +15,39 @@
 
 use galenapath_policy::ChoicePolicy;
 use scenario::{DOMAINS, Deployment, HSINCHU, INSTANCES, LAGOS, Pattern, Scenario, Work};
-use sim::Player;
+use sim::Variant;
 use stats::{Figures, Stats};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc;
 
 const THREADS: usize = 4;
-/// Each run is played with these; their requests count together.
+/// Seeds of the runs of each job, whose results are combined.
 const SEEDS: [u64; 2] = [20, 21];
-const FEW: usize = 3;
-
-const PLAYERS: [Player; 7] = [
-    admitting("galenapath", FEW),
-    player("galenapath, no admission", ChoicePolicy::Galenapath, FEW),
-    player("random", ChoicePolicy::Random, INSTANCES),
-    player("round robin", ChoicePolicy::RoundRobin, INSTANCES),
-    player("least in flight", ChoicePolicy::LeastInFlight, INSTANCES),
-    player("power of two", ChoicePolicy::PowerOfTwo, INSTANCES),
-    player("power of two, 3 disp.", ChoicePolicy::PowerOfTwo, FEW),
+const FEW_DISPATCHERS: usize = 3;
+
+const VARIANTS: [Variant; 7] = [
+    with_admission("galenapath", FEW_DISPATCHERS),
+    variant("galenapath, no admission", ChoicePolicy::Galenapath, FEW_DISPATCHERS),
+    variant("random", ChoicePolicy::Random, INSTANCES),
+    variant("round robin", ChoicePolicy::RoundRobin, INSTANCES),
+    variant("least in flight", ChoicePolicy::LeastInFlight, INSTANCES),
+    variant("power of two", ChoicePolicy::PowerOfTwo, INSTANCES),
+    variant("power of two, 3 disp.", ChoicePolicy::PowerOfTwo, FEW_DISPATCHERS),
 ];
 
-/// Played besides where the number of dispatchers matters.
-const MORE_DISPATCHERS: [Player; 2] =
-    [admitting("galenapath, 6 disp.", 2 * FEW), admitting("galenapath, 16 disp.", INSTANCES)];
+/// Additional variants for the patterns in `DISPATCHER_COUNT_PATTERNS`.
+const MORE_DISPATCHERS: [Variant; 2] = [
+    with_admission("galenapath, 6 disp.", 2 * FEW_DISPATCHERS),
+    with_admission("galenapath, 16 disp.", INSTANCES),
+];
 
-const fn player(name: &'static str, policy: ChoicePolicy, dispatchers: usize) -> Player {
-    Player { name, policy, dispatchers, admission: false }
+const fn variant(name: &'static str, policy: ChoicePolicy, dispatchers: usize) -> Variant {
+    Variant { name, policy, dispatchers, admission: false }
 }
 
-/// The whole path of an entry instance: admission, then the balancer.
-const fn admitting(name: &'static str, dispatchers: usize) -> Player {
-    Player { name, policy: ChoicePolicy::Galenapath, dispatchers, admission: true }
+/// The whole path of an instance: admission, then the balancer.
+const fn with_admission(name: &'static str, dispatchers: usize) -> Variant {
+    Variant { name, policy: ChoicePolicy::Galenapath, dispatchers, admission: true }
 }
 
 const PATTERNS: [Pattern; 11] = [
@@ -62,8 +64,8 @@
     Pattern::BadReports,
 ];
 
-/// Patterns that are played with more dispatchers too.
-const COUNTED: [Pattern; 6] = [
+/// Patterns that also run with more dispatchers.
+const DISPATCHER_COUNT_PATTERNS: [Pattern; 6] = [
     Pattern::Steady,
     Pattern::HeavyCallers,
     Pattern::HeavyOverload,
@@ -72,11 +74,11 @@
     Pattern::BadReports,
 ];
 
-/// One run: a scenario and a player, or the limit.
+/// One scenario with a variant, or with the limit if there is none.
 #[derive(Clone, Copy)]
 struct Job {
     scenario: Scenario,
-    player: Option<Player>,
+    variant: Option<Variant>,
 }
 
 fn main() {
@@ -102,11 +104,11 @@
     let mut jobs = Vec::new();
     let mut add = |deployment: Deployment, pattern: Pattern, work: Work| {
         let scenario = Scenario { deployment, work, pattern, seed: SEEDS[0] };
-        jobs.extend(PLAYERS.iter().map(|p| Job { scenario, player: Some(*p) }));
-        if work == Work::Exponential && COUNTED.contains(&pattern) {
-            jobs.extend(MORE_DISPATCHERS.iter().map(|p| Job { scenario, player: Some(*p) }));
+        jobs.extend(VARIANTS.iter().map(|v| Job { scenario, variant: Some(*v) }));
+        if work == Work::Exponential && DISPATCHER_COUNT_PATTERNS.contains(&pattern) {
+            jobs.extend(MORE_DISPATCHERS.iter().map(|v| Job { scenario, variant: Some(*v) }));
         }
-        jobs.push(Job { scenario, player: None });
+        jobs.push(Job { scenario, variant: None });
     };
     for deployment in [HSINCHU, LAGOS] {
         for pattern in PATTERNS {
@@ -127,20 +129,20 @@
         format!("{}, {work:?} work, {}", pattern.name(), deployment.name)
     }
 
-    fn play(&self) -> Figures {
+    fn run(&self) -> Figures {
         let mut stats = Stats::new();
         for seed in SEEDS {
             let scenario = Scenario { seed, ..self.scenario };
-            stats.add(match &self.player {
-                Some(player) => sim::play(&scenario, player),
-                None => limit::play(&scenario, DOMAINS),
+            stats.add(match &self.variant {
+                Some(variant) => sim::run(&scenario, variant),
+                None => limit::run(&scenario, DOMAINS),
             });
         }
         stats.figures()
     }
 }
 
-/// Plays all jobs, a few at a time; the order of the results is that of the jobs.
+/// Runs all jobs on `THREADS` threads; the results are in the order of the jobs.
 fn run(jobs: &[Job]) -> Vec<Figures> {
     let next = AtomicUsize::new(0);
     let (tx, rx) = mpsc::channel();
@@ -152,7 +154,7 @@
                 loop {
                     let i = next.fetch_add(1, Ordering::Relaxed);
                     let Some(job) = jobs.get(i) else { return };
-                    if tx.send((i, job.play())).is_err() {
+                    if tx.send((i, job.run())).is_err() {
                         return;
                     }
                 }
@@ -177,8 +179,8 @@
 }
 
 fn print_row(job: &Job, f: &Figures) {
-    let name = job.player.map_or("limit", |p| p.name);
-    let [early, middle, late] = f.first_share;
+    let name = job.variant.map_or("limit", |v| v.name);
+    let [early, middle, late] = f.server0_share;
     println!(
         "| {name} | {:.1} | {:.1} | {:.1} | {:.1} | {:.1} | {:.2}% | {:.2}% | {:.4} | {:.3}% | \
          {early:.2} | {middle:.3} | {late:.3} | {} |",
@@ -190,7 +192,7 @@
         f.goodput * 100.0,
         f.rejected * 100.0,
         f.jain,
-        f.measuring * 100.0,
+        f.probe_share * 100.0,
         f.to_leaving
     );
 }
--- a/crates/galenapath-policy/benches/decisions/scenario.rs
+++ b/crates/galenapath-policy/benches/decisions/scenario.rs
@@ -1,16 +1,16 @@
-//! What is played: deployments, distributions of work and patterns of load.
+//! Scenarios: deployments, work distributions and load patterns.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-/// Moments and spans are in microseconds of virtual time.
+/// Time or duration in microseconds of virtual time.
 pub type Time = u64;
 
 pub const MS: Time = 1_000;
 pub const SECOND: Time = 1_000_000;
-/// Start of the measured part; the pattern's event happens here.
+/// Start of the measured part of a run, and time of the pattern's event.
 pub const MEASURED_FROM: Time = SECOND;
-/// Last arrival.
+/// Time after which no requests arrive.
 pub const END: Time = 3 * SECOND;
 pub const SERVERS: usize = 20;
 pub const SLOTS: u32 = 6;
@@ -19,32 +19,34 @@
 pub const CALLERS: usize = 200;
 /// Mean work of a request.
 pub const MEAN_WORK: f64 = 5_000.0;
-/// A request answered later than this misses its class's target.
+/// Latency target.
 pub const TARGET: Time = 100 * MS;
-/// The same for long work.
+/// Latency target of long work.
 pub const LONG_TARGET: Time = SECOND;
 const LONG_WORK: f64 = 10.0 * MEAN_WORK;
 pub const HEAVY_CALLERS: usize = 4;
 const HEAVY_SHARE: f64 = 0.7;
-/// Load of the other callers, and what the heavy ones add, in pattern 2b.
+/// Load of the other callers and additional load of the heavy ones, in pattern 2b.
 const OTHERS_LOAD: f64 = 0.5;
 const HEAVY_LOAD: f64 = 1.2;
 const BURST_EVERY: Time = 500 * MS;
 const BURST_LENGTH: Time = 5 * MS;
 const LONG_SHARE: f64 = 0.05;
 
-/// Delays of one user's deployment, one way.
+/// One-way network delays of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
     pub name: &'static str,
-    pub crossing: Time,
-    pub client: Time,
+    pub cross_domain_delay: Time,
+    pub client_delay: Time,
 }
 
-pub const HSINCHU: Deployment = Deployment { name: "Hsinchu", crossing: 1_500, client: 1_000 };
-pub const LAGOS: Deployment = Deployment { name: "Lagos", crossing: 500, client: 3_000 };
+pub const HSINCHU: Deployment =
+    Deployment { name: "Hsinchu", cross_domain_delay: 1_500, client_delay: 1_000 };
+pub const LAGOS: Deployment =
+    Deployment { name: "Lagos", cross_domain_delay: 500, client_delay: 3_000 };
 
-/// Distribution of work, each with the mean `MEAN_WORK`.
+/// Work distribution with the mean `MEAN_WORK`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
     Exponential,
@@ -111,27 +113,27 @@
     pub seed: u64,
 }
 
-/// A request as its caller sends it.
+/// A request of a caller.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// Moment it reaches an instance.
+    /// Time at which it reaches an instance.
     pub at: Time,
     pub caller: usize,
     /// Work on a server at full speed.
     pub work: Time,
-    /// Whether the request is of the pattern's class of long work.
+    /// Whether the request belongs to the pattern's class of long work.
     pub is_long: bool,
 }
 
 impl Arrival {
-    /// Time within which the caller wants its answer.
+    /// Latency target of the request.
     pub fn target(&self) -> Time {
         if self.is_long { LONG_TARGET } else { TARGET }
     }
 }
 
 impl Scenario {
-    /// All requests of the run, the same for every policy.
+    /// Returns all requests of the run, which are the same for every policy.
     pub fn arrivals(&self) -> Vec<Arrival> {
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let capacity = (SERVERS as f64) * f64::from(SLOTS) / MEAN_WORK;
@@ -163,7 +165,7 @@
         rng.random_range(0..if is_heavy { HEAVY_CALLERS } else { CALLERS })
     }
 
-    /// The heavy callers send nothing before the event and the rest of the load is the others'.
+    /// Heavy callers send nothing before the event; the other callers send the remaining load.
     fn caller_in_overload(&self, at: Time, rng: &mut SmallRng) -> usize {
         let others = OTHERS_LOAD / self.pattern.load(at);
         let is_heavy = rng.random::<f64>() >= others;
@@ -191,7 +193,7 @@
     -(1.0 - rng.random::<f64>()).ln() * mean
 }
 
-/// Shape 1.5 from 1.84 ms, cut at 500 ms: mean 5 ms.
+/// Pareto distribution with shape 1.5 from 1.84 ms, cut at 500 ms; its mean is 5 ms.
 fn pareto(rng: &mut SmallRng) -> f64 {
     const LEAST: f64 = 1_773.0;
     const MOST: f64 = 500_000.0;
--- a/crates/galenapath-policy/benches/decisions/sim/admit.rs
+++ b/crates/galenapath-policy/benches/decisions/sim/admit.rs
@@ -1,6 +1,6 @@
-//! Players with admission: what waits and what is turned away is decided by the code that ships.
+//! Variants with admission: the production code decides which requests wait and which are rejected.
 
-use super::Sim;
+use super::Simulation;
 use crate::scenario::{Arrival, CALLERS, LONG_TARGET, Pattern, Scenario, TARGET, Time};
 use galenapath_policy::{
     Admission, AdmissionConfig, Balancer, ClassIndex, ClassPolicy, Decision, Offer, Outcome, Step,
@@ -10,27 +10,27 @@
 
 const SHORT: ClassIndex = ClassIndex(0);
 const LONG: ClassIndex = ClassIndex(1);
-/// How long callers wait for an answer.
-const PATIENCE: Micros = Micros::from_secs(1);
+/// Time after which a caller gives up.
+const CALLER_TIMEOUT: Micros = Micros::from_secs(1);
 
 /// Admission of one instance.
-pub(super) struct Gate {
+pub(super) struct AdmissionGate {
     admission: Admission,
-    /// The index of each caller, who is a workspace of their own.
+    /// Workspace of each caller.
     workspaces: Vec<WorkspaceIndex>,
-    /// Requests sent and not yet answered.
+    /// Requests that were sent and not answered yet.
     in_flight: u32,
 }
 
-impl Gate {
+impl AdmissionGate {
     pub(super) fn new(scenario: &Scenario, seed: u64) -> Self {
         let mut admission = Admission::new(AdmissionConfig::default(), seed);
         let has_long = scenario.pattern == Pattern::LongAmongShort;
-        let way = 2 * scenario.deployment.client;
+        let network_delay = 2 * scenario.deployment.client_delay;
         let policy = |class, length, target: Time| ClassPolicy {
             class,
             length,
-            target: Micros(target - way),
+            target: Micros(target - network_delay),
         };
         let short = policy(SHORT, WorkLength::Short, TARGET);
         let classes = [short, policy(LONG, WorkLength::Long, LONG_TARGET)];
@@ -39,27 +39,28 @@
         Self { admission, workspaces, in_flight: 0 }
     }
 
-    /// Tells admission and the balancer about each other.
-    fn tell(&mut self, now: Micros, balancer: &mut Balancer) {
+    /// Passes the number of waiting requests to the balancer and the free slots to admission.
+    fn update_capacity(&mut self, now: Micros, balancer: &mut Balancer) {
         balancer.set_waiting(self.admission.waiting() as u32);
         let free = balancer.free_slots(now);
-        let crosses = free == 0 && balancer.choose_cross_domain(now).is_some();
-        self.admission.set_capacity(now, self.in_flight + free.max(u32::from(crosses)));
+        let has_cross_domain_server = free == 0 && balancer.choose_cross_domain(now).is_some();
+        self.admission
+            .set_capacity(now, self.in_flight + free.max(u32::from(has_cross_domain_server)));
     }
 
     fn offer(&mut self, now: Micros, req: usize, arrival: &Arrival) -> Decision {
         let class = if arrival.is_long { LONG } else { SHORT };
         let workspace = self.workspaces[arrival.caller];
-        let offer = Offer { ticket: req as u64, class, workspace, deadline: now + PATIENCE };
+        let offer = Offer { ticket: req as u64, class, workspace, deadline: now + CALLER_TIMEOUT };
         self.admission.offer(now, offer)
     }
 
-    /// The load since the last call, as peers are told of it.
+    /// Returns the load since the last call, as reported to peers.
     pub(super) fn take_load(&mut self) -> f64 {
         self.admission.take_load()
     }
 
-    /// An attempt came back; `ended` tells how if it was the last one.
+    /// Records the end of an attempt; `ended` is set if it was the last one.
     pub(super) fn answered(&mut self, now: Micros, req: usize, ended: Option<(Outcome, Micros)>) {
         self.in_flight -= 1;
         if let Some((outcome, latency)) = ended {
@@ -68,30 +69,30 @@
     }
 }
 
-impl Sim {
-    /// Asks admission about a request that has just come.
+impl Simulation {
+    /// Offers a request that has just arrived to admission.
     pub(super) fn offer(&mut self, instance: usize, req: usize) {
-        self.pump(instance);
+        self.apply_decisions(instance);
         let now = Micros(self.now);
         let entry = &mut self.entries[instance];
         let Some(gate) = &mut entry.gate else { return };
-        gate.tell(now, &mut entry.balancer);
+        gate.update_capacity(now, &mut entry.balancer);
         match gate.offer(now, req, &self.reqs[req].arrival) {
             Decision::Start => self.send_admitted(req),
             Decision::Wait => {}
-            Decision::Reject(_) => self.turn_away(req),
+            Decision::Reject(_) => self.reject(req),
         }
-        self.pump(instance);
+        self.apply_decisions(instance);
     }
 
-    /// Carries out what admission decides, until it decides nothing more.
-    pub(super) fn pump(&mut self, instance: usize) {
+    /// Applies decisions of admission until there are no more.
+    pub(super) fn apply_decisions(&mut self, instance: usize) {
         let now = Micros(self.now);
         let mut steps = Vec::new();
         loop {
             let entry = &mut self.entries[instance];
             let Some(gate) = &mut entry.gate else { return };
-            gate.tell(now, &mut entry.balancer);
+            gate.update_capacity(now, &mut entry.balancer);
             gate.admission.poll(now, &mut steps);
             if steps.is_empty() {
                 return;
@@ -99,35 +100,35 @@
             for step in steps.drain(..) {
                 match step {
                     Step::Start(req) => self.send_admitted(req as usize),
-                    Step::Reject(req, _) => self.turn_away(req as usize),
+                    Step::Reject(req, _) => self.reject(req as usize),
                 }
             }
         }
     }
 
-    /// Sends a request that was let in to the best server there is.
+    /// Sends an admitted request to the best available server.
     pub(super) fn send_admitted(&mut self, req: usize) {
         let now = Micros(self.now);
         let entry = &mut self.entries[self.reqs[req].instance];
         let is_free = entry.balancer.free_slots(now) > 0;
-        let crossing = if is_free { None } else { entry.balancer.choose_cross_domain(now) };
-        let slot = crossing.or_else(|| entry.balancer.choose(now, &self.reqs[req].tried));
+        let cross_domain = if is_free { None } else { entry.balancer.choose_cross_domain(now) };
+        let handle = cross_domain.or_else(|| entry.balancer.choose(now, &self.reqs[req].tried));
         let Some(gate) = &mut entry.gate else { return };
-        match slot {
-            Some(slot) => {
+        match handle {
+            Some(handle) => {
                 gate.in_flight += 1;
-                self.send(req, slot);
+                self.send(req, handle);
             }
             None => {
                 gate.admission.finish(now, req as u64, Outcome::Failure, Micros::ZERO);
-                self.turn_away(req);
+                self.reject(req);
             }
         }
     }
 
-    fn turn_away(&mut self, req: usize) {
+    fn reject(&mut self, req: usize) {
         let arrived = self.reqs[req].arrival.at;
         self.stats.reject(arrived);
-        self.stats.told(arrived, self.now - arrived);
+        self.stats.record_rejection_time(arrived, self.now - arrived);
     }
 }
--- a/crates/galenapath-policy/benches/decisions/stats.rs
+++ b/crates/galenapath-policy/benches/decisions/stats.rs
@@ -1,15 +1,16 @@
-//! What a run measures.
+//! Statistics of a run.
 
 use super::scenario::{
     Arrival, CALLERS, HEAVY_CALLERS, MEAN_WORK, MEASURED_FROM, MS, SECOND, SERVERS, SLOTS, Time,
 };
 
-/// Windows after the event in which the share of server 0 is counted: end of each.
+/// Ends of the windows after the event in which the share of server 0 is counted.
 const SHARE_WINDOWS: [Time; 3] = [50 * MS, 250 * MS, Time::MAX];
 
-/// Seconds of a run.
+/// Number of seconds that are counted separately.
 const SECONDS: usize = 4;
-/// Start of the time before the event in which latencies are compared; servers are warm by then.
+/// Start of the interval before the event whose latencies are used as the reference. Servers are
+/// warm by then.
 const WARM_FROM: Time = 300 * MS;
 
 #[derive(Debug)]
@@ -19,28 +20,28 @@
     offered: usize,
     rejected: usize,
     within_target: usize,
-    /// Requests that arrived in each second, and those of them answered within target.
+    /// Requests that arrived in each second, and the number of them answered within target.
     offered_by_second: [u32; SECONDS],
-    good_by_second: [u32; SECONDS],
+    on_target_by_second: [u32; SECONDS],
     /// Times from arrival to rejection.
-    told: Vec<Time>,
-    /// Latencies of the callers who are not heavy, before the event and after it.
+    rejection_times: Vec<Time>,
+    /// Latencies of the callers that are not heavy, before and after the event.
     others_before: Vec<Time>,
     others: Vec<Time>,
     caller_offered: Vec<u32>,
-    caller_good: Vec<u32>,
+    caller_on_target: Vec<u32>,
     sent: [u64; 3],
-    sent_to_first: [u64; 3],
+    sent_to_server0: [u64; 3],
     pub probes: u64,
     probe_time: Time,
     pub to_leaving: u64,
-    /// Last arrival that was answered, summed over the runs.
+    /// Arrival time of the last answered request, summed over the runs.
     ended_at: Time,
-    /// Runs added.
+    /// Number of runs that were added.
     runs: u32,
 }
 
-/// Figures of one run; times in milliseconds, the rest as shares.
+/// Results of a job; times are in milliseconds, other values are shares.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
     pub p50: f64,
@@ -51,17 +52,18 @@
     pub goodput: f64,
     pub rejected: f64,
     pub jain: f64,
-    pub measuring: f64,
+    pub probe_share: f64,
     /// Share of server 0 in the windows after the event, relative to an even share.
-    pub first_share: [f64; 3],
+    pub server0_share: [f64; 3],
     pub to_leaving: u64,
     /// Answered within target in the first second after the event, as a share of capacity.
-    pub first_second: f64,
+    pub goodput_first_second: f64,
     /// Answered within target in the second after that one, as a share of what arrived.
-    pub second_after: f64,
-    /// Time from arrival to rejection, 99th percentile; in milliseconds.
-    pub told99: f64,
-    /// 99th percentile of the latency of callers who are not heavy, relative to that before.
+    pub on_target_second_after: f64,
+    /// 99th percentile of the time from arrival to rejection, in milliseconds.
+    pub rejection_time99: f64,
+    /// 99th percentile of the latency of callers that are not heavy, relative to that before the
+    /// event.
     pub others99: f64,
 }
 
@@ -74,14 +76,14 @@
             rejected: 0,
             within_target: 0,
             offered_by_second: [0; SECONDS],
-            good_by_second: [0; SECONDS],
-            told: Vec::new(),
+            on_target_by_second: [0; SECONDS],
+            rejection_times: Vec::new(),
             others_before: Vec::new(),
             others: Vec::new(),
             caller_offered: vec![0; CALLERS],
-            caller_good: vec![0; CALLERS],
+            caller_on_target: vec![0; CALLERS],
             sent: [0; 3],
-            sent_to_first: [0; 3],
+            sent_to_server0: [0; 3],
             probes: 0,
             probe_time: 0,
             to_leaving: 0,
@@ -94,18 +96,18 @@
     pub fn add(&mut self, other: Self) {
         self.latencies.extend(other.latencies);
         self.waits.extend(other.waits);
-        self.told.extend(other.told);
+        self.rejection_times.extend(other.rejection_times);
         self.others.extend(other.others);
         self.others_before.extend(other.others_before);
         self.offered += other.offered;
         self.rejected += other.rejected;
         self.within_target += other.within_target;
         add_all(&mut self.offered_by_second, &other.offered_by_second);
-        add_all(&mut self.good_by_second, &other.good_by_second);
+        add_all(&mut self.on_target_by_second, &other.on_target_by_second);
         add_all(&mut self.caller_offered, &other.caller_offered);
-        add_all(&mut self.caller_good, &other.caller_good);
+        add_all(&mut self.caller_on_target, &other.caller_on_target);
         add_all(&mut self.sent, &other.sent);
-        add_all(&mut self.sent_to_first, &other.sent_to_first);
+        add_all(&mut self.sent_to_server0, &other.sent_to_server0);
         self.probes += other.probes;
         self.probe_time += other.probe_time;
         self.to_leaving += other.to_leaving;
@@ -121,14 +123,14 @@
         }
     }
 
-    /// A request was answered: `latency` as the caller sees it, `wait` without work and the way
-    /// between caller and instance. Long work counts for goodput only.
+    /// Records an answer. `latency` is that seen by the caller; `wait` excludes work and the
+    /// network delay between caller and instance. Long work counts for goodput only.
     pub fn answer(&mut self, arrival: &Arrival, latency: Time, wait: Time) {
         self.ended_at = self.ended_at.max(arrival.at);
-        let is_good = latency <= arrival.target();
-        self.good_by_second[second(arrival.at)] += u32::from(is_good);
+        let is_on_target = latency <= arrival.target();
+        self.on_target_by_second[second(arrival.at)] += u32::from(is_on_target);
         if arrival.caller >= HEAVY_CALLERS {
-            self.note_other(arrival.at, latency);
+            self.record_other_latency(arrival.at, latency);
         }
         if arrival.at < MEASURED_FROM {
             return;
@@ -137,13 +139,13 @@
             self.latencies.push(latency);
             self.waits.push(wait);
         }
-        if is_good {
+        if is_on_target {
             self.within_target += 1;
-            self.caller_good[arrival.caller] += 1;
+            self.caller_on_target[arrival.caller] += 1;
         }
     }
 
-    fn note_other(&mut self, arrived: Time, latency: Time) {
+    fn record_other_latency(&mut self, arrived: Time, latency: Time) {
         if arrived >= MEASURED_FROM {
             self.others.push(latency);
         } else if arrived >= WARM_FROM {
@@ -151,10 +153,10 @@
         }
     }
 
-    /// A request was told that it is turned away, `after` it arrived.
-    pub fn told(&mut self, arrived: Time, after: Time) {
+    /// Records that a request was rejected `after` its arrival.
+    pub fn record_rejection_time(&mut self, arrived: Time, after: Time) {
         if arrived >= MEASURED_FROM {
-            self.told.push(after);
+            self.rejection_times.push(after);
         }
     }
 
@@ -166,7 +168,7 @@
         let Some(since) = at.checked_sub(MEASURED_FROM) else { return };
         let window = SHARE_WINDOWS.iter().position(|&end| since < end).unwrap_or(2);
         self.sent[window] += 1;
-        self.sent_to_first[window] += u64::from(server == 0);
+        self.sent_to_server0[window] += u64::from(server == 0);
     }
 
     pub fn probe(&mut self, cost: Time) {
@@ -177,14 +179,14 @@
     pub fn figures(mut self) -> Figures {
         self.latencies.sort_unstable();
         self.waits.sort_unstable();
-        self.told.sort_unstable();
+        self.rejection_times.sort_unstable();
         self.others.sort_unstable();
         self.others_before.sort_unstable();
         let capacity = (SERVERS as u64 * u64::from(SLOTS) * self.ended_at.max(1)) as f64;
         let offered = self.offered.max(1) as f64;
-        let mut first_share = [0.0; 3];
+        let mut server0_share = [0.0; 3];
         for (share, (first, all)) in
-            first_share.iter_mut().zip(self.sent_to_first.iter().zip(&self.sent))
+            server0_share.iter_mut().zip(self.sent_to_server0.iter().zip(&self.sent))
         {
             *share = *first as f64 * SERVERS as f64 / (*all).max(1) as f64;
         }
@@ -197,13 +199,14 @@
             goodput: self.within_target as f64 / offered,
             rejected: self.rejected as f64 / offered,
             jain: self.jain(),
-            measuring: self.probe_time as f64 / capacity,
-            first_share,
+            probe_share: self.probe_time as f64 / capacity,
+            server0_share,
             to_leaving: self.to_leaving,
-            first_second: f64::from(self.good_by_second[1]) / (per_second() * f64::from(self.runs)),
-            second_after: f64::from(self.good_by_second[2])
+            goodput_first_second: f64::from(self.on_target_by_second[1])
+                / (per_second() * f64::from(self.runs)),
+            on_target_second_after: f64::from(self.on_target_by_second[2])
                 / f64::from(self.offered_by_second[2].max(1)),
-            told99: quantile(&self.told, 0.99),
+            rejection_time99: quantile(&self.rejection_times, 0.99),
             others99: quantile(&self.others, 0.99) / quantile(&self.others_before, 0.99).max(0.1),
         }
     }
@@ -213,7 +216,7 @@
         let shares: Vec<f64> = self
             .caller_offered
             .iter()
-            .zip(&self.caller_good)
+            .zip(&self.caller_on_target)
             .filter(|(offered, _)| **offered > 0)
             .map(|(offered, good)| f64::from(*good) / f64::from(*offered))
             .collect();
@@ -233,12 +236,12 @@
     ((at / SECOND) as usize).min(SECONDS - 1)
 }
 
-/// Requests that all servers serve in a second.
+/// Requests per second that all servers can handle together.
 fn per_second() -> f64 {
     SERVERS as f64 * f64::from(SLOTS) * SECOND as f64 / MEAN_WORK
 }
 
-/// In milliseconds.
+/// Returns a quantile in milliseconds.
 fn quantile(sorted: &[Time], q: f64) -> f64 {
     let Some(last) = sorted.len().checked_sub(1) else { return 0.0 };
     sorted[(last as f64 * q) as usize] as f64 / MS as f64
--- a/crates/galenapath-policy/src/dispatch/addresses.rs
+++ b/crates/galenapath-policy/src/dispatch/addresses.rs
@@ -62,7 +62,7 @@
 
 /// Maximum factor by which the number of instances may grow to keep each within its capacity. With
 /// more instances, each would know too little of the servers' load.
-const MAX_EXTRA_FACTOR: usize = 2;
+const MAX_INSTANCE_FACTOR: usize = 2;
 
 /// Peak rate, in requests per second, of the callers of one failure domain. It decays over time and
 /// is kept when the instances that received the requests are lost.
@@ -149,7 +149,7 @@
 /// the servers' load and would get almost none of the budget for load queries.
 fn instances_needed(capacities: &[u32], load: u32, cfg: &AddressConfig) -> usize {
     let mut smallest = u32::MAX;
-    let total_capacity: Vec<u32> = capacities
+    let total_capacities: Vec<u32> = capacities
         .iter()
         .zip(1_u32..)
         .map(|(capacity, count)| {
@@ -159,13 +159,17 @@
         .collect();
     let counts = || {
         (cfg.min_local.min(capacities.len()).max(1)..=capacities.len())
-            .map(|n| (n, total_capacity[n - 1]))
+            .map(|n| (n, total_capacities[n - 1]))
     };
     let first_sufficient =
         |load_factor: u32| counts().find(|(_, total)| total.saturating_mul(load_factor) >= load);
     match (first_sufficient(1), first_sufficient(cfg.max_load_factor)) {
-        (Some((normal, _)), Some((loaded, _))) if normal <= MAX_EXTRA_FACTOR * loaded => normal,
-        (_, Some((loaded, _))) => loaded,
+        (Some((within_capacity, _)), Some((beyond_capacity, _)))
+            if within_capacity <= MAX_INSTANCE_FACTOR * beyond_capacity =>
+        {
+            within_capacity
+        }
+        (_, Some((beyond_capacity, _))) => beyond_capacity,
         _ => counts().rev().max_by_key(|(_, total)| *total).map_or(0, |(count, _)| count),
     }
 }
