--- a/crates/galenapath-policy/benches/decisions/limit.rs
+++ b/crates/galenapath-policy/benches/decisions/limit.rs
@@ -1,6 +1,6 @@
 //! Upper limit of any policy: one central queue with full knowledge of the free slots, which sends
-//! nothing to servers that are slow, cold, failing or leaving. There are no cross-domain sends and
-//! no network delays except to the caller.
+//! nothing to servers that are slow, cold, failing or leaving. There are no cross-domain sends; the
+//! network delays are those to the caller and to a local server.
 
 use super::fleet::{self, Server};
 use super::scenario::{Arrival, SLOTS, Scenario, Time};
--- a/crates/galenapath-policy/benches/decisions/scenario.rs
+++ b/crates/galenapath-policy/benches/decisions/scenario.rs
@@ -193,7 +193,7 @@
     -(1.0 - rng.random::<f64>()).ln() * mean
 }
 
-/// Pareto distribution with shape 1.5 from 1.84 ms, cut at 500 ms; its mean is 5 ms.
+/// Pareto distribution with shape 1.5, cut at 500 ms; its mean is about 5 ms.
 fn pareto(rng: &mut SmallRng) -> f64 {
     const LEAST: f64 = 1_773.0;
     const MOST: f64 = 500_000.0;
--- a/crates/galenapath-policy/src/balance/health.rs
+++ b/crates/galenapath-policy/src/balance/health.rs
@@ -34,8 +34,8 @@
 const IDLE_HALF_LIFE: Micros = Micros::from_millis(50);
 /// Time until the first trial of an ejected server, multiplied by the number of dispatchers of the
 /// service; doubles with each failed trial. A failed trial is a failed request of a caller, so the
-/// total rate of trials does not depend on the number of dispatchers: with three of them, each
-/// sends its first trial after 100 ms.
+/// rate of trials of all dispatchers together is kept independent of their number: each of three
+/// dispatchers sends its first trial after 100 ms.
 const INITIAL_TRIAL_INTERVAL: Micros = Micros::from_millis(33);
 /// Maximum trial interval, also multiplied by the number of dispatchers.
 const MAX_TRIAL_INTERVAL: Micros = Micros::from_millis(333);
@@ -62,7 +62,7 @@
         before: Lateness,
         lateness: Lateness,
     },
-    /// The request was answered; `counted` is the lateness already included in the score.
+    /// The request was answered or timed out; `counted` is the lateness already in the score.
     Ended {
         counted: Lateness,
         lateness: Lateness,
--- a/crates/galenapath-policy/src/balance/load.rs
+++ b/crates/galenapath-policy/src/balance/load.rs
@@ -31,7 +31,7 @@
     average: f32,
     waiting: u32,
     reported_at: Option<Micros>,
-    /// Between zero and `MOST_DOUBT`.
+    /// Between zero and `MAX_DOUBT`.
     doubt: f32,
 }
 
--- a/crates/galenapath-policy/src/dispatch/addresses.rs
+++ b/crates/galenapath-policy/src/dispatch/addresses.rs
@@ -56,8 +56,8 @@
 /// than an instance that starts to receive callers needs to report its rate.
 const PEAK_HALF_LIFE: Micros = Micros::from_secs(4);
 
-/// Load that an instance can handle temporarily, as a multiple of its capacity: two thirds of its
-/// processor.
+/// Load that an instance can handle temporarily, as a multiple of its capacity. It uses two thirds
+/// of the processor.
 const MAX_LOAD_FACTOR: u32 = 2;
 
 /// Maximum factor by which the number of instances may grow to keep each within its capacity. With
--- a/crates/galenapath-policy/tests/balance/load.rs
+++ b/crates/galenapath-policy/tests/balance/load.rs
@@ -56,8 +56,8 @@
     for _ in 0..10 {
         balancer.report(now, false_reporter, report(0, 0));
     }
-    // The load of the false reporter is estimated as that of the honest server. Its three own
-    // requests and four of other dispatchers leave no free slot.
+    // The load of the false reporter is estimated as that of the honest server. Three requests of
+    // this instance and four of other dispatchers leave no free slot on it.
     assert_eq!(balancer.free_slots(now), 2);
 }
 
