--- a/crates/galenapath-policy/src/balance/choice.rs
+++ b/crates/galenapath-policy/src/balance/choice.rs
@@ -23,7 +23,7 @@
 const FULL_PENALTY: f32 = 1e6;
 /// Extra cost of a suspect server, in microseconds: more than any wait.
 const SUSPECT_PENALTY: f32 = 1e9;
-/// Extra cost of an ejected or paused server, in microseconds.
+/// Extra cost of an ejected server, or of one in backoff after a rejection, in microseconds.
 const EJECTED_PENALTY: f32 = 2e9;
 /// Fraction of the mean latency that load adds to the cost of a server whose slots are all taken.
 /// It is small, so that it only orders servers of equal cost and never outweighs a cross-domain
@@ -146,7 +146,7 @@
                     EJECTED_PENALTY
                 }
                 HealthStatus::Suspect if exclude_unhealthy => SUSPECT_PENALTY,
-                _ if server.is_paused(now) => EJECTED_PENALTY,
+                _ if server.is_backing_off(now) => EJECTED_PENALTY,
                 _ => 0.0,
             };
             let tie_break = jitter * self.rng.random::<f32>();
@@ -278,6 +278,6 @@
     fn is_usable(&self, now: Micros, server: &Server, exclude_unhealthy: bool) -> bool {
         let status = server.health.status(now, server.in_flight() == 0);
         let is_unhealthy = exclude_unhealthy && status != HealthStatus::Healthy;
-        !is_unhealthy && server.is_open() && !server.is_paused(now)
+        !is_unhealthy && server.is_open() && !server.is_backing_off(now)
     }
 }
--- a/crates/galenapath-policy/src/balance/server.rs
+++ b/crates/galenapath-policy/src/balance/server.rs
@@ -10,9 +10,9 @@
 /// Upper bound for the numbers of a report. Deployed servers have 6 slots and 240 connections.
 const MAX_REPORTED: u32 = 10_000;
 
-/// Pause after the first rejection; doubles with each further one.
-const INITIAL_PAUSE: Micros = Micros::from_millis(10);
-const MAX_PAUSE_DOUBLINGS: u32 = 6;
+/// Backoff after the first rejection; doubles with each further one.
+const INITIAL_BACKOFF: Micros = Micros::from_millis(10);
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 /// A request of this instance in flight.
 #[derive(Clone, Copy, Debug)]
@@ -47,7 +47,7 @@
     pub last_contact_at: Micros,
     /// Start of the ramp-up of a server that was added after the first list.
     pub ramp_started_at: Option<Micros>,
-    paused_until: Micros,
+    backoff_until: Micros,
     /// Rejections since the last answer.
     rejections: u32,
     pub health: Health,
@@ -67,7 +67,7 @@
             others: OthersLoad::default(),
             last_contact_at: Micros::ZERO,
             ramp_started_at: None,
-            paused_until: Micros::ZERO,
+            backoff_until: Micros::ZERO,
             rejections: 0,
             health: Health::default(),
             probes,
@@ -84,9 +84,9 @@
         !self.leaving && self.in_flight() < self.connection_share
     }
 
-    /// Whether the server is in the pause after a rejection.
-    pub fn is_paused(&self, now: Micros) -> bool {
-        now < self.paused_until
+    /// Whether the server is in backoff after a rejection.
+    pub fn is_backing_off(&self, now: Micros) -> bool {
+        now < self.backoff_until
     }
 
     /// Records that a request is sent to the server.
@@ -113,8 +113,8 @@
     /// Records that the server rejected a request.
     pub fn record_rejection(&mut self, now: Micros) {
         self.others.record_rejection(now, self.slots);
-        let pause = Micros(INITIAL_PAUSE.0 << self.rejections.min(MAX_PAUSE_DOUBLINGS));
-        self.paused_until = now + pause;
+        let backoff = Micros(INITIAL_BACKOFF.0 << self.rejections.min(MAX_BACKOFF_DOUBLINGS));
+        self.backoff_until = now + backoff;
         self.rejections += 1;
     }
 
--- a/crates/galenapath-policy/tests/balance/choice.rs
+++ b/crates/galenapath-policy/tests/balance/choice.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn choose_after_rejection_server_paused() {
+fn choose_after_rejection_server_avoided() {
     let (mut balancer, now) = warmed_up(3, 0);
     let rejecting = handle(&mut balancer, now, "h0");
     balancer.start(now, rejecting);
