--- a/crates/galenapath-gateway/src/instance.rs
+++ b/crates/galenapath-gateway/src/instance.rs
@@ -10,7 +10,7 @@
 use crate::usage::{Flow, Usage};
 use galenapath_filings::{SuspectConfig, Suspects};
 use galenapath_membership::{BeatConfig, Beats, Member, MemberStatus, StoreHealth, Vitals};
-use galenapath_policy::dispatch::RecentLoad;
+use galenapath_policy::dispatch::PeakLoad;
 use galenapath_policy::measure::{Crossings, QuestionTimes};
 use galenapath_policy::place::{Placement, spent};
 use galenapath_policy::{FailedRequests, LineBudget, LineKind};
@@ -77,7 +77,7 @@
     /// Rate of requests from callers.
     pub(crate) rate: Cell<Rate>,
     /// Recent requests from callers, by the callers' failure domain.
-    pub(crate) recent_loads: RefCell<FastMap<DomainId, RecentLoad>>,
+    pub(crate) recent_loads: RefCell<FastMap<DomainId, PeakLoad>>,
     /// When a caller first requested addresses to connect to; zero before that.
     first_address_request_at: Cell<Micros>,
     next_request: Cell<u64>,
