--- a/crates/galenapath-ctl/tests/trace.rs
+++ b/crates/galenapath-ctl/tests/trace.rs
@@ -11,8 +11,8 @@
 {"t":108.000,"level":"INFO","event":"request ended","request":"a1","service":"s","status":504,"steps":"i-1:sent:load2/6:pace100:known1ms silent"}
 {"t":108.100,"level":"INFO","event":"request ended","request":"a2","service":"s","status":200,"steps":"i-2:sent:load1/6:pace100:known1ms i-2:answered:20ms"}
 {"t":108.200,"level":"INFO","event":"failure domain evacuated","domain":"d1","revision":7,"source":"store"}
-{"t":108.300,"level":"INFO","event":"server says that it leaves","server":"i-1","told_by":"request"}
-{"t":108.320,"level":"INFO","event":"server says that it leaves","server":"i-1","told_by":"peer"}
+{"t":108.300,"level":"INFO","event":"server is leaving","server":"i-1","told_by":"request"}
+{"t":108.320,"level":"INFO","event":"server is leaving","server":"i-1","told_by":"peer"}
 {"t":108.500,"level":"INFO","event":"server out of reach","server":"i-1","address":"10.0.0.1:80"}
 {"t":140.000,"level":"INFO","event":"server removed","server":"i-1","revision":9}
 "#;
@@ -29,7 +29,7 @@
         "server listed",
         "configuration in force",
         "failure domain evacuated",
-        "server says that it leaves",
+        "server is leaving",
         "server out of reach",
     ];
     assert_eq!(events, expected);
--- a/crates/galenapath-gateway/src/addresses.rs
+++ b/crates/galenapath-gateway/src/addresses.rs
@@ -1,4 +1,4 @@
-//! The answer to the question where to connect.
+//! Selects the instance addresses for a caller that asks where to connect.
 
 use crate::instance::Instance;
 use galenapath_membership::{Member, Peer, Vitals};
@@ -6,30 +6,30 @@
 use galenapath_protocol::{DomainId, Micros};
 use std::net::SocketAddr;
 
-/// Time after its first question for which an instance does not trust the rates that it knows: they
-/// are counted for a second and told every half second.
-const RATE_KNOWN_AFTER: Micros = Micros::from_secs(2);
+/// Time after the first address request during which request rates are not used: instances count
+/// them over one second and report them every half second.
+const RATE_SETTLING_TIME: Micros = Micros::from_secs(2);
 
-/// Addresses for a caller in failure domain `domain`.
-pub(crate) fn answer(instance: &Instance, domain: &str) -> Vec<SocketAddr> {
-    let beats = instance.beats.borrow();
-    let (own, vitals) = (instance.member(), instance.vitals());
+/// Returns the addresses for a caller in failure domain `domain`.
+pub(crate) fn addresses_for_caller(instance: &Instance, domain: &str) -> Vec<SocketAddr> {
+    let membership = instance.beats.borrow();
+    let (own, status) = (instance.member(), instance.vitals());
     let seeds = &instance.settings().listen.seeds;
-    let reachable = |member, vitals| reachable(member, vitals, seeds);
-    let usable = beats.peers().filter(|peer| peer.is_usable());
+    let reachable = |member, status| reachable(member, status, seeds);
+    let usable = membership.peers().filter(|peer| peer.is_usable());
     let mut all: Vec<Reachable<'_>> =
         usable.map(|peer| reachable(&peer.member, &peer.vitals)).collect();
     if instance.is_ready() {
-        all.push(reachable(&own, &vitals));
+        all.push(reachable(&own, &status));
     }
-    leave_out_evacuated(instance, &mut all);
+    exclude_evacuated(instance, &mut all);
     let load = recent_load(instance, domain);
     addresses_for(&AnswerConfig::default(), domain, &all, load)
 }
 
-/// Leaves out the instances of evacuated failure domains, where there are others: whatever they send and get
-/// crosses between domains.
-fn leave_out_evacuated(instance: &Instance, all: &mut Vec<Reachable<'_>>) {
+/// Excludes instances in evacuated failure domains if any others are available, because all
+/// traffic of the excluded ones crosses domains.
+fn exclude_evacuated(instance: &Instance, all: &mut Vec<Reachable<'_>>) {
     let state = instance.state.borrow();
     let is_evacuated =
         |at: &Reachable<'_>| state.evacuations.in_force().any(|domain| &*domain.0 == at.domain);
@@ -38,33 +38,33 @@
     }
 }
 
-fn reachable<'a>(member: &'a Member, vitals: &Vitals, seeds: &[SocketAddr]) -> Reachable<'a> {
+fn reachable<'a>(member: &'a Member, status: &Vitals, seeds: &[SocketAddr]) -> Reachable<'a> {
     Reachable {
         name: &member.id.0,
         domain: &member.domain.0,
         address: member.callers,
-        rate: vitals.rate,
-        capacity: vitals.capacity,
+        rate: status.rate,
+        capacity: status.capacity,
         is_seed: seeds.iter().any(|seed| seed.ip() == member.peers.ip()),
     }
 }
 
-/// Requests a second that callers of `domain` send, also to instances that are about to stop; `None` while
-/// rates are not known.
+/// Requests per second sent by callers in `domain`, including those to instances that are shutting
+/// down; `None` until rates are known.
 fn recent_load(instance: &Instance, domain: &str) -> Option<u32> {
-    if instance.served_for() <= RATE_KNOWN_AFTER {
+    if instance.served_for() <= RATE_SETTLING_TIME {
         return None;
     }
-    let beats = instance.beats.borrow();
-    let is_there = |peer: &&Peer| peer.is_up() && &*peer.member.domain.0 == domain;
-    let others: u32 = beats.peers().filter(is_there).map(|peer| peer.vitals.rate).sum();
+    let membership = instance.beats.borrow();
+    let is_in_domain = |peer: &&Peer| peer.is_up() && &*peer.member.domain.0 == domain;
+    let others: u32 = membership.peers().filter(is_in_domain).map(|peer| peer.vitals.rate).sum();
     let is_own = &*instance.settings().domain.0 == domain;
     let own = if is_own { instance.vitals().rate } else { 0 };
     let (now, key) = (instance.now(), DomainId(domain.into()));
     let mut loads = instance.recent_loads.borrow_mut();
     let before = loads.get(&key).copied().unwrap_or_default();
     let load = before.with(now, others.saturating_add(own));
-    // A caller may name any domain; those without instances need no memory.
+    // Callers may name any domain; domains without load are not stored.
     if load.get(now) > 0 {
         loads.insert(key, load);
     }
--- a/crates/galenapath-gateway/src/attempt.rs
+++ b/crates/galenapath-gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one backend server.
+//! Sends a request to one backend server and reads its answer.
 
 use crate::call::Call;
 use crate::crash;
@@ -6,9 +6,9 @@
 use crate::fitness;
 use crate::health;
 use crate::in_flight::InFlight;
-use crate::reply::{self, HeadVerdict, Reply, Rest};
-use crate::request::set;
-use crate::said::{Answer, Answered};
+use crate::reply::{self, HeadVerdict, RemainingBody, Reply};
+use crate::request::set_header;
+use crate::said::{AnswerKind, ServerAnswer};
 use crate::usage::Flow;
 use galenapath_http::{
     BodyState, Connection, Framing, HttpError, ResponseHead, put_request, response_framing,
@@ -19,43 +19,43 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for a connection: far more than a crossing and a handshake take, less than a caller
-/// can spare.
-const CONNECT_TIME: Duration = Duration::from_millis(250);
+/// Well above a cross-domain round trip plus handshake, and less than a caller can spare.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Largest head of an answer, in bytes.
+/// Maximum size of the head of an answer, in bytes.
 pub(crate) const HEAD_LIMIT: usize = 16 * 1024;
 
-/// Why a send has no answer.
+/// Why an attempt got no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fault {
-    /// No connection; nothing was sent.
+pub(crate) enum AttemptError {
+    /// No connection could be opened; nothing was sent.
     Unreachable,
-    /// The server says that it did not run the request.
-    Refused,
-    /// Another server has the address and did not run the request.
+    /// The server reported that it did not run the request.
+    Rejected,
+    /// A different server has the address; it did not run the request.
     OtherServer,
-    /// The server turned out to be slow or full just before the request was sent.
+    /// Just before the send, the server was found slow, full or closed to requests, or did not
+    /// answer the load query in time.
     Unfit,
-    /// What is known of the server is old, and no more questions to it are left: it looks better than
-    /// others to all instances, which have just sent their requests there.
-    NotAsked,
+    /// The load observation is stale and the query budget for the server is spent. Such a server
+    /// looks better than the others to every instance, and all have just sent requests to it.
+    QueryBudgetSpent,
     /// The connection broke after the request was sent.
     Broken,
-    /// An answer that must not be passed on.
-    Bad(&'static str),
+    /// The answer is invalid and must not be forwarded.
+    InvalidAnswer(&'static str),
 }
 
-impl Fault {
+impl AttemptError {
     /// Whether the request may have run.
     pub(crate) const fn verdict(self) -> Verdict {
         match self {
             Self::Unreachable
-            | Self::Refused
+            | Self::Rejected
             | Self::OtherServer
             | Self::Unfit
-            | Self::NotAsked => Verdict::NotRun,
-            Self::Broken | Self::Bad(_) => Verdict::MayHaveRun,
+            | Self::QueryBudgetSpent => Verdict::NotRun,
+            Self::Broken | Self::InvalidAnswer(_) => Verdict::MayHaveRun,
         }
     }
 
@@ -63,144 +63,152 @@
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Unreachable => "unreachable",
-            Self::Refused => "refused",
+            Self::Rejected => "refused",
             Self::OtherServer => "other_server",
             Self::Unfit => "unfit",
-            Self::NotAsked => "not_asked",
+            Self::QueryBudgetSpent => "not_asked",
             Self::Broken => "broken",
-            Self::Bad(why) => why,
+            Self::InvalidAnswer(why) => why,
         }
     }
 
-    /// Weight of the failure in the choice of servers; one is a plain failure.
+    /// Weight of the error in the selection of servers; 1.0 is an ordinary failure.
     pub(crate) const fn weight(self) -> f32 {
         match self {
-            Self::Refused => 0.3,
-            Self::Unfit | Self::NotAsked => 0.0,
-            Self::Unreachable | Self::OtherServer | Self::Broken | Self::Bad(_) => 1.0,
+            Self::Rejected => 0.3,
+            Self::Unfit | Self::QueryBudgetSpent => 0.0,
+            Self::Unreachable | Self::OtherServer | Self::Broken | Self::InvalidAnswer(_) => 1.0,
         }
     }
 }
 
 /// Sends the request to the server of `in_flight` and reads its answer.
-pub(crate) async fn attempt(call: &Call, in_flight: InFlight) -> Result<Reply, Fault> {
+pub(crate) async fn attempt(call: &Call, in_flight: InFlight) -> Result<Reply, AttemptError> {
     let started = call.instance.now();
     let result = send(call, &in_flight).await;
     let took = call.instance.now() - started;
-    call.note_attempt(&in_flight, took, &result);
+    call.record_attempt(&in_flight, took, &result);
     match &result {
         Ok(_) => {
             let (now, request) = (call.instance.now(), call.req.fingerprint);
             call.instance.suspects.borrow_mut().answered(now, request);
         }
-        Err(Fault::Broken) => crash::note_broken(call, &in_flight.server),
+        Err(AttemptError::Broken) => crash::check_for_crash(call, &in_flight.server),
         Err(_) => {}
     }
     result
 }
 
-async fn send(call: &Call, in_flight: &InFlight) -> Result<Reply, Fault> {
+async fn send(call: &Call, in_flight: &InFlight) -> Result<Reply, AttemptError> {
     let (service, server) = (&call.service, &in_flight.server);
-    let address = service.address(server).ok_or(Fault::Unreachable)?;
-    // Nor is a server asked that wants nothing.
-    if !service.may_send(&call.instance, server, in_flight.started) {
-        return Err(Fault::Unfit);
+    let address = service.address(server).ok_or(AttemptError::Unreachable)?;
+    // Checked here as well, so that a server that accepts no requests gets no load query.
+    if !service.may_send(&call.instance, server, in_flight.snapshot) {
+        return Err(AttemptError::Unfit);
     }
-    let (mut connection, is_kept) = fitness::connect_fit(call, in_flight, address).await?;
-    // What it takes may have changed meanwhile, or its failure domain may have been evacuated.
-    if !service.may_send(&call.instance, server, in_flight.started) {
-        return Err(Fault::Unfit);
+    let (mut connection, is_reused) = fitness::connect_if_fit(call, in_flight, address).await?;
+    // Meanwhile the server may have paused, started to drain, turned cold or stated a rate limit,
+    // or its failure domain may have been evacuated.
+    if !service.may_send(&call.instance, server, in_flight.snapshot) {
+        return Err(AttemptError::Unfit);
     }
-    let listed_id = service.listed_id(server).ok_or(Fault::Unreachable)?;
-    put_head(call, &listed_id, &mut connection);
-    in_flight.sent();
-    call.sent(&in_flight.server);
+    let listed_id = service.listed_id(server).ok_or(AttemptError::Unreachable)?;
+    write_request(call, &listed_id, &mut connection);
+    in_flight.mark_sent();
+    call.record_send(&in_flight.server);
     let mut sent_at = call.instance.now();
-    let head = exchange_head(call, &mut connection).await;
+    let head = send_and_read_head(call, &mut connection).await;
     let head = match head {
-        // The server closed a kept connection while the request was on its way to it.
+        // The server closed a reused connection while the request was in transit.
         Err(HttpError::Closed | HttpError::Io(_))
-            // It may have arrived all the same, so that it counts as a retry.
-            if is_kept
+            // The request may have arrived nevertheless, so sending it again counts as a retry.
+            if is_reused
                 && call.req.route.kind.may_repeat()
-                && service.send_again(&call.instance, server)
+                && service.try_count_resend(&call.instance, server)
                 && take_retry(call) =>
         {
             connection = connect(call, address).await?;
-            put_head(call, &listed_id, &mut connection);
+            write_request(call, &listed_id, &mut connection);
             sent_at = call.instance.now();
-            exchange_head(call, &mut connection).await
+            send_and_read_head(call, &mut connection).await
         }
         head => head,
     };
-    let (head, verdict) = head.map_err(|e| broken(&e))?;
-    if let Some(answered) = answered(verdict, head.status) {
-        in_flight.told.set(health::note_answer(&call.instance, service, server, &head));
+    let (head, verdict) = head.map_err(|e| attempt_error(&e))?;
+    if let Some(kind) = answer_kind(verdict, head.status) {
+        in_flight.answer_load.set(health::apply_answer_load(
+            &call.instance,
+            service,
+            server,
+            &head,
+        ));
         let (instance, id, head) = (&call.instance, server, &head);
-        Answer { instance, service, id, head, answered, sent_at }.note();
+        ServerAnswer { instance, service, id, head, kind, sent_at }.apply();
     }
     match verdict {
-        HeadVerdict::NotRun => call.not_run(),
+        HeadVerdict::NotRun => call.record_not_run(),
         HeadVerdict::OtherServer => {
-            call.not_run();
+            call.record_not_run();
             service.placement.borrow_mut().mark_leaving(server);
-            return Err(Fault::OtherServer);
+            return Err(AttemptError::OtherServer);
         }
-        HeadVerdict::Foreign => return Err(Fault::Bad("foreign")),
-        HeadVerdict::Bad(why) => return Err(Fault::Bad(why)),
+        HeadVerdict::Foreign => return Err(AttemptError::InvalidAnswer("foreign")),
+        HeadVerdict::Invalid(why) => return Err(AttemptError::InvalidAnswer(why)),
         HeadVerdict::Answer => {}
     }
     let reply = read_reply(call, in_flight, connection, head).await;
     match verdict {
-        HeadVerdict::NotRun => Err(Fault::Refused),
+        HeadVerdict::NotRun => Err(AttemptError::Rejected),
         _ => reply,
     }
 }
 
-/// How the server that the request was sent to has answered; `None` where another one wrote the answer.
-fn answered(verdict: HeadVerdict, status: StatusCode) -> Option<Answered> {
+/// Classifies the answer to a request; `None` if a server other than the addressed one sent it.
+fn answer_kind(verdict: HeadVerdict, status: StatusCode) -> Option<AnswerKind> {
     match verdict {
-        HeadVerdict::Answer if status.is_success() => Some(Answered::Request),
-        HeadVerdict::Answer | HeadVerdict::NotRun | HeadVerdict::Foreign | HeadVerdict::Bad(_) => {
-            Some(Answered::RequestFailed)
-        }
+        HeadVerdict::Answer if status.is_success() => Some(AnswerKind::RequestSucceeded),
+        HeadVerdict::Answer
+        | HeadVerdict::NotRun
+        | HeadVerdict::Foreign
+        | HeadVerdict::Invalid(_) => Some(AnswerKind::RequestFailed),
         HeadVerdict::OtherServer => None,
     }
 }
 
-fn broken(e: &HttpError) -> Fault {
+fn attempt_error(e: &HttpError) -> AttemptError {
     match e {
         HttpError::BadHead(_) | HttpError::BadFraming(_) | HttpError::HeadTooLarge { .. } => {
-            Fault::Bad("not_http")
+            AttemptError::InvalidAnswer("not_http")
         }
-        _ => Fault::Broken,
+        _ => AttemptError::Broken,
     }
 }
 
-/// Opens a connection.
-pub(crate) async fn connect(call: &Call, address: SocketAddr) -> Result<Connection, Fault> {
+/// Opens a connection for a request within [`CONNECT_TIMEOUT`].
+pub(crate) async fn connect(call: &Call, address: SocketAddr) -> Result<Connection, AttemptError> {
     call.instance.count_connect("request");
     let connecting = TcpStream::connect_addr(address);
-    match monoio::time::timeout(CONNECT_TIME, connecting).await {
+    match monoio::time::timeout(CONNECT_TIMEOUT, connecting).await {
         Ok(Ok(io)) => Ok(Connection::new(io, HEAD_LIMIT)),
-        Ok(Err(_)) | Err(_) => Err(Fault::Unreachable),
+        Ok(Err(_)) | Err(_) => Err(AttemptError::Unreachable),
     }
 }
 
-/// Writes head and body of a request that only the server `listed_id` may run into the connection's buffer.
-fn put_head(call: &Call, listed_id: &BackendId, connection: &mut Connection) {
+/// Writes the request into the connection's buffer, addressed so that only the server `listed_id`
+/// may run it.
+fn write_request(call: &Call, listed_id: &BackendId, connection: &mut Connection) {
     let names = &call.instance.names;
     let mut headers = call.req.headers.clone();
     let left = call.req.deadline - call.instance.now();
-    set(&mut headers, &names.time_left_ms, &(left.0 / 1_000).to_string());
-    set(&mut headers, &names.expected_server, &listed_id.0);
+    set_header(&mut headers, &names.time_left_ms, &(left.0 / 1_000).to_string());
+    set_header(&mut headers, &names.expected_server, &listed_id.0);
     let framing = call.req.framing();
     let out = connection.output();
     put_request(out, &call.req.method, &call.req.path, &headers, &[], framing);
     out.extend_from_slice(&call.req.body);
 }
 
-async fn exchange_head(
+async fn send_and_read_head(
     call: &Call,
     connection: &mut Connection,
 ) -> Result<(ResponseHead, HeadVerdict), HttpError> {
@@ -214,11 +222,12 @@
     in_flight: &InFlight,
     mut connection: Connection,
     head: ResponseHead,
-) -> Result<Reply, Fault> {
+) -> Result<Reply, AttemptError> {
     let framing = response_framing(&call.req.method, head.status, &head.headers)
-        .map_err(|_| Fault::Bad("bad_framing"))?;
+        .map_err(|_| AttemptError::InvalidAnswer("bad_framing"))?;
     let mut body = BodyState::new(framing);
-    let start = reply::read_start(&mut connection, &mut body).await.map_err(|e| broken(&e))?;
+    let start =
+        reply::read_start(&mut connection, &mut body).await.map_err(|e| attempt_error(&e))?;
     let is_home = call.service.is_home(&in_flight.server);
     call.instance.usage.count(Flow::Request, is_home, connection.take_carried());
     let stated = reply::stated_idle(&head.headers);
@@ -230,11 +239,11 @@
         }
         None
     } else {
-        Some(Rest { connection, body, is_home })
+        Some(RemainingBody { connection, body, is_home })
     };
     Ok(Reply {
         status: head.status,
-        headers: reply::passed_on(&call.instance.names, head.headers),
+        headers: reply::caller_headers(&call.instance.names, head.headers),
         framing,
         start,
         rest,
--- a/crates/galenapath-gateway/src/call.rs
+++ b/crates/galenapath-gateway/src/call.rs
@@ -1,6 +1,6 @@
-//! One request on its way through the instance, with what is noted of it for the log.
+//! The state of one request while the instance processes it.
 
-use crate::attempt::Fault;
+use crate::attempt::AttemptError;
 use crate::in_flight::InFlight;
 use crate::instance::Instance;
 use crate::reply::Reply;
@@ -10,27 +10,27 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Servers that may turn out worse than they seemed before a request takes what it is given. Each
-/// costs a round trip.
-const MOST_CHOICES: u32 = 4;
+/// How often a request may move to another server because the selected one turned out unfit; each
+/// time costs a round trip.
+const MAX_RESELECTIONS: u32 = 4;
 
 /// A request and its service.
 ///
-/// Invariant: `unresolved` counts the sends of which nobody has said that they did not run.
+/// Invariant: `unresolved` counts the sends that may have run, as no server has reported otherwise.
 pub(crate) struct Call {
     pub(crate) instance: Rc<Instance>,
     pub(crate) service: Rc<Service>,
     pub(crate) req: Request,
     unresolved: Cell<u32>,
     sends: Cell<u32>,
-    /// Servers that turned out worse than they seemed.
-    choices: Cell<u32>,
+    reselections: Cell<u32>,
+    /// Servers that the request was assigned to.
     pub(crate) tried: RefCell<Vec<BackendId>>,
-    /// Servers that turned out worse than they seemed when they were asked just now.
+    /// Servers found unfit just before the request would have been sent to them.
     pub(crate) unfit: RefCell<Vec<BackendId>>,
-    /// Time that it waited for a server.
+    /// Time spent waiting for a server.
     pub(crate) waited: Cell<Micros>,
-    /// What happened at each server, for the log.
+    /// The events at each server, for the log.
     steps: RefCell<String>,
 }
 
@@ -42,7 +42,7 @@
             req,
             unresolved: Cell::new(0),
             sends: Cell::new(0),
-            choices: Cell::new(0),
+            reselections: Cell::new(0),
             tried: RefCell::default(),
             unfit: RefCell::default(),
             waited: Cell::default(),
@@ -50,16 +50,16 @@
         }
     }
 
-    /// The request is being sent to `server`.
-    pub(crate) fn sent(&self, server: &BackendId) {
+    /// Records that the request is being sent to `server`.
+    pub(crate) fn record_send(&self, server: &BackendId) {
         let now = self.instance.now();
-        if let Some(seen) = self.service.placement.borrow().seen(server) {
-            let LoadReport { in_flight, slots, pace, .. } = seen.report;
-            let age = (now - seen.at).0 / 1_000;
-            let knowledge = format!("load{in_flight}/{slots}:pace{pace}:known{age}ms ");
-            self.note(&format!("{}:sent:{knowledge}", server.0));
+        if let Some(observation) = self.service.placement.borrow().seen(server) {
+            let LoadReport { in_flight, slots, pace, .. } = observation.report;
+            let age = (now - observation.at).0 / 1_000;
+            let load = format!("load{in_flight}/{slots}:pace{pace}:known{age}ms ");
+            self.add_step(&format!("{}:sent:{load}", server.0));
         } else {
-            self.note(&format!("{}:sent:unknown ", server.0));
+            self.add_step(&format!("{}:sent:unknown ", server.0));
         }
         self.unresolved.set(self.unresolved.get() + 1);
         if self.sends.replace(self.sends.get() + 1) == 0 {
@@ -67,8 +67,8 @@
         }
     }
 
-    /// The server that it was just sent to has not run it.
-    pub(crate) fn not_run(&self) {
+    /// Records that the last server addressed did not run the request.
+    pub(crate) fn record_not_run(&self) {
         self.unresolved.set(self.unresolved.get().saturating_sub(1));
     }
 
@@ -80,83 +80,83 @@
         }
     }
 
-    /// Sends so far.
+    /// Number of sends so far.
     pub(crate) fn sends(&self) -> u32 {
         self.sends.get()
     }
 
-    /// Time left until the final answer is due.
-    pub(crate) fn left(&self) -> Micros {
+    /// Time until the deadline; zero once it has passed.
+    pub(crate) fn time_left(&self) -> Micros {
         self.req.deadline - self.instance.now()
     }
 
-    /// Time within which an answer is worth most; zero where that has passed.
-    pub(crate) fn left_for_target(&self) -> Micros {
+    /// Time until the latency target; zero once it has passed.
+    pub(crate) fn time_left_to_target(&self) -> Micros {
         self.req.target_at - self.instance.now()
     }
 
-    /// Whether the request may look for another server because the one chosen has turned out worse
-    /// than it seemed; only so often. Also once its target is missed: a slow server takes more time than
-    /// such a request has left.
-    pub(crate) fn may_choose_anew(&self) -> bool {
-        let count = self.choices.get();
-        self.choices.set(count + 1);
-        count < MOST_CHOICES && self.left() > Micros::ZERO
+    /// Whether the request may move to another server because the selected one turned out unfit;
+    /// counts the call towards [`MAX_RESELECTIONS`]. Allowed even after the latency target has
+    /// passed, because a slow server would take more time than such a request has left.
+    pub(crate) fn may_reselect(&self) -> bool {
+        let count = self.reselections.get();
+        self.reselections.set(count + 1);
+        count < MAX_RESELECTIONS && self.time_left() > Micros::ZERO
     }
 
-    /// Takes note of how a send ended, for the choice of servers and for the log.
-    pub(crate) fn note_attempt(
+    /// Records the result of a send, for the selection of servers, the metrics and the log.
+    pub(crate) fn record_attempt(
         &self,
         in_flight: &InFlight,
         took: Micros,
-        result: &Result<Reply, Fault>,
+        result: &Result<Reply, AttemptError>,
     ) {
         let now = self.instance.now();
         let server = &in_flight.server;
         let outcome = match result {
             Ok(reply) if reply.status.is_server_error() => "server_error",
             Ok(_) => "answered",
-            Err(fault) => fault.as_str(),
+            Err(error) => error.as_str(),
         };
         self.instance.metrics.sends.with_label_values(&[outcome]).inc();
         let kind = self.req.route.kind.as_str();
         let mut placement = self.service.placement.borrow_mut();
-        if !matches!(result, Err(Fault::NotAsked)) {
-            placement.found(in_flight.started, !matches!(result, Err(Fault::Unfit)));
+        if !matches!(result, Err(AttemptError::QueryBudgetSpent)) {
+            placement.found(in_flight.snapshot, !matches!(result, Err(AttemptError::Unfit)));
         }
         match result {
             Ok(reply) if reply.status.is_server_error() => placement.failed(now, server, 1.0),
             Ok(_) => {
-                placement.served(now, server, took, in_flight.started);
+                placement.served(now, server, took, in_flight.snapshot);
                 let seconds = took.as_millis_f64() / 1_000.0;
                 let labels = [kind, self.service.name.as_str()];
                 self.instance.metrics.work.with_label_values(&labels).observe(seconds);
             }
-            Err(Fault::Unreachable) => {
+            Err(AttemptError::Unreachable) => {
                 placement.failed(now, server, 1.0);
                 placement.not_reached(now, server);
             }
-            Err(Fault::Unfit | Fault::NotAsked) => {}
-            Err(fault) => placement.failed(now, server, fault.weight()),
+            Err(AttemptError::Unfit | AttemptError::QueryBudgetSpent) => {}
+            Err(error) => placement.failed(now, server, error.weight()),
         }
         drop(placement);
         let weight = match result {
             Ok(reply) if reply.status.is_server_error() => 1.0,
             Ok(_) => 0.0,
-            Err(fault) => fault.weight(),
+            Err(error) => error.weight(),
         };
         if weight > 0.0 {
             self.instance.share_failure(&self.service, server, weight);
         }
-        self.note(&format!("{}:{outcome}:{}ms ", server.0, took.0 / 1_000));
+        self.add_step(&format!("{}:{outcome}:{}ms ", server.0, took.0 / 1_000));
     }
 
-    /// Adds to what the log tells of the request.
-    pub(crate) fn note(&self, text: &str) {
+    /// Appends to the steps in the request's log line.
+    pub(crate) fn add_step(&self, text: &str) {
         self.steps.borrow_mut().push_str(text);
     }
 
-    /// What the log tells of the request.
+    /// The steps for the request's log line.
     pub(crate) fn steps(&self) -> String {
         self.steps.borrow().trim_end().to_owned()
     }
--- a/crates/galenapath-gateway/src/caller.rs
+++ b/crates/galenapath-gateway/src/caller.rs
@@ -1,6 +1,6 @@
-//! One caller's connection.
+//! Serves the requests on a caller's connection.
 
-use crate::answer::{End, OwnAnswer, note_end, note_refused};
+use crate::answer::{LocalAnswer, RequestEnd, record_end, record_rejected};
 use crate::call::Call;
 use crate::exchange;
 use crate::instance::{Instance, Stage};
@@ -26,16 +26,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a caller that goes on sending is listened to while its connection closes.
-const CLOSING_TIME: Duration = Duration::from_millis(500);
+/// How long input from the caller is still read and discarded while its connection closes.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// When a caller may come back to an instance that does not know the configuration yet.
-const UNKNOWN_RETRY: Micros = Micros::from_millis(200);
+/// `Retry-After` of answers from an instance that has no configuration yet.
+const NO_CONFIG_RETRY_AFTER: Micros = Micros::from_millis(200);
 
-/// Longest wait of a caller that does not say how long it waits, on top of the route's timeout.
-const UNTOLD_TIME: Micros = Micros::from_secs(60);
+/// Caller timeout assumed for callers that state none; the route's timeout applies as well.
+const DEFAULT_CALLER_TIMEOUT: Micros = Micros::from_secs(60);
 
-/// A connection from a caller and the request that is being served on it.
+/// A caller's connection and properties of its current request.
 pub(crate) struct Caller {
     pub(crate) connection: Connection,
     /// Method of the request; an answer to `HEAD` has no body.
@@ -47,7 +47,7 @@
 }
 
 impl Caller {
-    /// Says in an answer's headers whether the connection stays open, where that is not understood.
+    /// Sets the `Connection` header of an answer where it differs from the HTTP version's default.
     pub(crate) fn set_connection(&self, headers: &mut HeaderMap) {
         if !self.keep_alive {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
@@ -57,26 +57,26 @@
     }
 }
 
-/// Counts an open connection; dropping it takes it off.
-struct Open<'a>(&'a Instance);
+/// Counts an open connection until dropped.
+struct OpenGuard<'a>(&'a Instance);
 
-impl Drop for Open<'_> {
+impl Drop for OpenGuard<'_> {
     fn drop(&mut self) {
         self.0.metrics.callers.dec();
     }
 }
 
-/// Counts a request in progress; dropping it takes it off.
-struct InProgress<'a>(&'a Instance);
+/// Counts a request in progress until dropped.
+struct InProgressGuard<'a>(&'a Instance);
 
-impl<'a> InProgress<'a> {
+impl<'a> InProgressGuard<'a> {
     fn begin(instance: &'a Instance) -> Self {
         instance.in_progress.set(instance.in_progress.get() + 1);
         Self(instance)
     }
 }
 
-impl Drop for InProgress<'_> {
+impl Drop for InProgressGuard<'_> {
     fn drop(&mut self) {
         self.0.in_progress.set(self.0.in_progress.get().saturating_sub(1));
     }
@@ -85,7 +85,7 @@
 /// Serves requests on a connection until either side closes it.
 pub(crate) async fn serve(instance: Rc<Instance>, io: TcpStream) {
     instance.metrics.callers.inc();
-    let _open = Open(&instance);
+    let _open = OpenGuard(&instance);
     let limits = *instance.state.borrow().table().limits();
     let mut caller = Caller {
         connection: Connection::new(io, limits.header_bytes),
@@ -99,43 +99,43 @@
         let head = match caller.connection.read_request(times).await {
             Ok(head) => head,
             Err(e) => {
-                refuse_head(&instance, &mut caller, &e).await;
-                caller.connection.close(CLOSING_TIME).await;
+                reject_head(&instance, &mut caller, &e).await;
+                caller.connection.close(CLOSE_TIMEOUT).await;
                 return;
             }
         };
-        let _progress = InProgress::begin(&instance);
-        // Boxed, so that an idle connection does not hold the room of a request in progress.
+        let _progress = InProgressGuard::begin(&instance);
+        // Boxed, so that an idle connection does not hold the memory of a request in progress.
         let result = Box::pin(serve_one(&instance, &mut caller, head, &limits)).await;
         if result.is_err() || !caller.keep_alive {
-            caller.connection.close(CLOSING_TIME).await;
+            caller.connection.close(CLOSE_TIMEOUT).await;
             return;
         }
     }
 }
 
-/// Answers a head that cannot be used, where an answer makes sense. The connection closes then:
-/// nobody can tell where the next request would begin.
-async fn refuse_head(instance: &Instance, caller: &mut Caller, e: &HttpError) {
+/// Answers a request that could not be read, unless the caller has closed the connection or sent
+/// nothing. The connection must close afterwards, because the start of the next request is unknown.
+async fn reject_head(instance: &Instance, caller: &mut Caller, e: &HttpError) {
     let answer = match e {
         HttpError::Io(e) if e.kind() == ErrorKind::TimedOut => {
-            OwnAnswer::new(StatusCode::REQUEST_TIMEOUT, "body_timeout")
+            LocalAnswer::new(StatusCode::REQUEST_TIMEOUT, "body_timeout")
         }
         HttpError::Closed | HttpError::Truncated | HttpError::Io(_) => return,
         HttpError::HeadTooLarge { .. } => {
-            OwnAnswer::new(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "head_too_large")
+            LocalAnswer::new(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "head_too_large")
         }
-        // A connection that stayed idle has nobody waiting for an answer.
+        // No request was begun on the idle connection, so no answer is expected.
         HttpError::HeadTimeout if !caller.connection.has_unread() => return,
-        HttpError::HeadTimeout => OwnAnswer::new(StatusCode::REQUEST_TIMEOUT, "head_timeout"),
+        HttpError::HeadTimeout => LocalAnswer::new(StatusCode::REQUEST_TIMEOUT, "head_timeout"),
         HttpError::BadHead(_) | HttpError::BadFraming(_) => {
-            OwnAnswer::new(StatusCode::BAD_REQUEST, "bad_request")
+            LocalAnswer::new(StatusCode::BAD_REQUEST, "bad_request")
         }
     };
     caller.keep_alive = false;
-    note_refused(instance, None, "-", &answer);
+    record_rejected(instance, None, "-", &answer);
     if let Err(e) = answer.send(instance, caller, None).await {
-        log::debug!(error:% = e; "a caller left before its answer");
+        log::debug!(error:% = e; "caller disconnected before its answer was sent");
     }
 }
 
@@ -152,32 +152,33 @@
     let framing = match request_framing(head.version, &head.headers) {
         Ok(framing) => framing,
         Err(e) => {
-            refuse_head(instance, caller, &e).await;
+            reject_head(instance, caller, &e).await;
             return Err(e);
         }
     };
     let id = head.headers.get(&instance.names.request_id).cloned();
-    let told = request::time_left(&instance.names, &head.headers).unwrap_or(UNTOLD_TIME);
-    start::wait_until_known(instance, told).await;
+    let caller_timeout =
+        request::caller_timeout(&instance.names, &head.headers).unwrap_or(DEFAULT_CALLER_TIMEOUT);
+    start::wait_until_known(instance, caller_timeout).await;
     let route = match find_route(instance, &head) {
         Ok(route) => route,
         Err(answer) => {
-            // A body that is not read would be taken for the next request.
+            // An unread body would be parsed as the next request.
             caller.keep_alive &= framing == Framing::None;
-            note_refused(instance, id.as_ref(), head.uri.path(), &answer);
+            record_rejected(instance, id.as_ref(), head.uri.path(), &answer);
             return answer.send(instance, caller, id.as_ref()).await;
         }
     };
-    let deadline = arrived + told.min(route.timeout.into());
+    let deadline = arrived + caller_timeout.min(route.timeout.into());
     let body = match read_body(instance, caller, &head, framing, limits, deadline).await {
         Ok(Ok(body)) => body,
         Ok(Err(answer)) => {
             caller.keep_alive = false;
-            note_refused(instance, id.as_ref(), head.uri.path(), &answer);
+            record_rejected(instance, id.as_ref(), head.uri.path(), &answer);
             return answer.send(instance, caller, id.as_ref()).await;
         }
         Err(e) => {
-            refuse_head(instance, caller, &e).await;
+            reject_head(instance, caller, &e).await;
             return Err(e);
         }
     };
@@ -186,7 +187,7 @@
     let failed_first = instance.failed.borrow_mut().take(arrived, fingerprint.0);
     let first_at = failed_first.unwrap_or(arrived);
     let chance = if failed_first.is_some() { Chance::Last } else { Chance::First };
-    let target_at = instance.target_at(&route, arrived, first_at, told);
+    let target_at = instance.target_at(&route, arrived, first_at, caller_timeout);
     let req = Request {
         ticket: instance.next_ticket(),
         id,
@@ -195,7 +196,7 @@
         chance,
         first_at,
         method: head.method,
-        headers: request::forwarded(&instance.names, head.headers),
+        headers: request::server_headers(&instance.names, head.headers),
         body,
         route,
         arrived,
@@ -205,22 +206,22 @@
     serve_request(instance, caller, req).await
 }
 
-fn find_route(instance: &Instance, head: &RequestHead) -> Result<Arc<Route>, OwnAnswer> {
+fn find_route(instance: &Instance, head: &RequestHead) -> Result<Arc<Route>, LocalAnswer> {
     let host = match request_host(head) {
         Ok(host) => host,
         Err(BadRequest::Version) => {
             let status = StatusCode::HTTP_VERSION_NOT_SUPPORTED;
-            return Err(OwnAnswer::new(status, BadRequest::Version.as_str()));
+            return Err(LocalAnswer::new(status, BadRequest::Version.as_str()));
         }
-        Err(bad) => return Err(OwnAnswer::new(StatusCode::BAD_REQUEST, bad.as_str())),
+        Err(bad) => return Err(LocalAnswer::new(StatusCode::BAD_REQUEST, bad.as_str())),
     };
     let state = instance.state.borrow();
     if state.config().is_none() {
-        let answer = OwnAnswer::new(StatusCode::SERVICE_UNAVAILABLE, "no_configuration");
-        return Err(answer.after(UNKNOWN_RETRY));
+        let answer = LocalAnswer::new(StatusCode::SERVICE_UNAVAILABLE, "no_configuration");
+        return Err(answer.with_retry_after(NO_CONFIG_RETRY_AFTER));
     }
     let route = state.table().find(host, head.uri.path());
-    route.cloned().ok_or(OwnAnswer::new(StatusCode::NOT_FOUND, "no_route"))
+    route.cloned().ok_or(LocalAnswer::new(StatusCode::NOT_FOUND, "no_route"))
 }
 
 async fn serve_request(
@@ -230,8 +231,8 @@
 ) -> Result<(), HttpError> {
     let part = instance.pick_part(&req.route).to_owned();
     let Some(service) = instance.service(&part) else {
-        let answer = OwnAnswer::new(StatusCode::SERVICE_UNAVAILABLE, "no_service");
-        note_refused(instance, req.id.as_ref(), &req.path, &answer);
+        let answer = LocalAnswer::new(StatusCode::SERVICE_UNAVAILABLE, "no_service");
+        record_rejected(instance, req.id.as_ref(), &req.path, &answer);
         return answer.send(instance, caller, req.id.as_ref()).await;
     };
     let call = Call::new(instance, service, req);
@@ -248,26 +249,26 @@
         Some(Err(failure)) => {
             let (now, req) = (instance.now(), &call.req);
             instance.failed.borrow_mut().note(now, req.fingerprint.0, req.first_at);
-            let end = End {
+            let end = RequestEnd {
                 status: failure.status,
                 outcome: failure.reason,
                 verdict: failure.verdict,
                 retry_after: failure.retry_after,
             };
-            note_end(&call, &end);
-            let answer = OwnAnswer::from(failure);
+            record_end(&call, &end);
+            let answer = LocalAnswer::from(failure);
             answer.send(instance, caller, call.req.id.as_ref()).await
         }
         None => {
             let status = StatusCode::from_u16(499).unwrap_or(StatusCode::BAD_GATEWAY);
             let (verdict, outcome) = (call.verdict(), "caller_left");
-            note_end(&call, &End { status, outcome, verdict, retry_after: None });
+            record_end(&call, &RequestEnd { status, outcome, verdict, retry_after: None });
             Err(HttpError::Closed)
         }
     }
 }
 
-/// Reads the whole body, or says why it is not taken.
+/// Reads the whole body. The inner error is the answer to a body that is too large or too late.
 async fn read_body(
     instance: &Instance,
     caller: &mut Caller,
@@ -275,8 +276,8 @@
     framing: Framing,
     limits: &CallerLimits,
     deadline: Micros,
-) -> Result<Result<Bytes, OwnAnswer>, HttpError> {
-    let too_large = OwnAnswer::new(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large");
+) -> Result<Result<Bytes, LocalAnswer>, HttpError> {
+    let too_large = LocalAnswer::new(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large");
     if matches!(framing, Framing::Length(n) if n > limits.body_bytes) {
         return Ok(Err(too_large));
     }
@@ -297,7 +298,9 @@
                 Some(piece) => body.extend_from_slice(&piece),
                 None => return Ok(Ok(body.freeze())),
             },
-            Err(_) => return Ok(Err(OwnAnswer::new(StatusCode::REQUEST_TIMEOUT, "body_timeout"))),
+            Err(_) => {
+                return Ok(Err(LocalAnswer::new(StatusCode::REQUEST_TIMEOUT, "body_timeout")));
+            }
         }
         if body.len() as u64 > limits.body_bytes {
             return Ok(Err(too_large));
@@ -305,7 +308,7 @@
     }
 }
 
-/// The end of a request that a backend server answered.
-pub(crate) fn answered(status: StatusCode, outcome: &'static str) -> End {
-    End { status, outcome, verdict: Verdict::Answered, retry_after: None }
+/// The end of a request whose answer came from a backend server.
+pub(crate) fn answered_end(status: StatusCode, outcome: &'static str) -> RequestEnd {
+    RequestEnd { status, outcome, verdict: Verdict::Answered, retry_after: None }
 }
--- a/crates/galenapath-gateway/src/clock.rs
+++ b/crates/galenapath-gateway/src/clock.rs
@@ -1,32 +1,32 @@
-//! The clock of an instance.
+//! The monotonic clock of an instance.
 
 use galenapath_protocol::Micros;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Time that the clock shows at the start of the process, so that moments before it can be told.
-const AT_START: Micros = Micros::from_secs(1_000);
+/// Reading of the clock at its start; above zero, so that earlier times can be represented.
+const START: Micros = Micros::from_secs(1_000);
 
-/// A clock that no step of the time of day moves and that counts the time during which the machine
-/// was suspended: a deadline goes on while the machine sleeps.
+/// A clock that is unaffected by changes of the system time and includes time in suspend, because
+/// deadlines keep running while the machine is suspended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     origin: Micros,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub(crate) fn start() -> Self {
         Self { origin: since_boot() }
     }
 
-    /// Time now.
+    /// Current time.
     pub(crate) fn now(self) -> Micros {
-        AT_START + (since_boot() - self.origin)
+        START + (since_boot() - self.origin)
     }
 
     /// Time since the start.
     pub(crate) fn age(self) -> Micros {
-        self.now() - AT_START
+        self.now() - START
     }
 }
 
--- a/crates/galenapath-gateway/src/crash.rs
+++ b/crates/galenapath-gateway/src/crash.rs
@@ -1,8 +1,9 @@
-//! Requests that crash the backend servers that run them.
+//! Detection of requests that crash backend servers.
 //!
-//! A connection that breaks with a request on it says little: answers get lost and connections are
-//! reset. Only a server that cannot be reached right after, or has become another one, has crashed.
-//! What instances find they tell each other, and [`Suspects`] says which request is to blame.
+//! A broken connection alone does not show a crash: answers get lost and connections are reset for
+//! other reasons. A server counts as crashed only if it cannot be reached right afterwards, or if
+//! another server has its address. Instances report crashes to each other, and
+//! [`galenapath_filings::Suspects`] decides which requests are crash suspects.
 
 use crate::call::Call;
 use crate::fleet::CrashNote;
@@ -16,27 +17,28 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest wait for a server that may have crashed.
-const LOOK_TIME: Duration = Duration::from_millis(300);
+/// Time within which a server that may have crashed has to connect and answer.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A suspect that runs. Dropping it lets the next one of the same request run.
-pub(crate) struct Trial<'a> {
+/// A running crash suspect. Dropping it lets the next request with the same fingerprint run.
+pub(crate) struct SuspectRun<'a> {
     instance: &'a Instance,
     request: Fingerprint,
 }
 
-impl Drop for Trial<'_> {
+impl Drop for SuspectRun<'_> {
     fn drop(&mut self) {
         self.instance.suspects.borrow_mut().trial_ended(self.request);
     }
 }
 
-/// Lets a request run, one at a time where it is suspected.
+/// Checks whether a request may run. Crash suspects with the same fingerprint run one at a time.
 ///
 /// # Errors
 ///
-/// When it may be looked at again, for one that crashes servers or whose trial is running.
-pub(crate) fn clear(call: &Call) -> Result<Option<Trial<'_>>, Micros> {
+/// Time after which the caller may retry, if the request is known to crash servers or another
+/// suspect with its fingerprint is running.
+pub(crate) fn check_suspect(call: &Call) -> Result<Option<SuspectRun<'_>>, Micros> {
     let instance = &call.instance;
     let request = call.req.fingerprint;
     let mut suspects = instance.suspects.borrow_mut();
@@ -44,46 +46,45 @@
         SuspectVerdict::Clear => Ok(None),
         SuspectVerdict::RunAlone => {
             suspects.trial_started(request);
-            Ok(Some(Trial { instance, request }))
+            Ok(Some(SuspectRun { instance, request }))
         }
         SuspectVerdict::Refuse { retry_after } => Err(retry_after),
     }
 }
 
-/// A connection broke with the request on it: finds out, beside everything else, whether the server
-/// has crashed.
-pub(crate) fn note_broken(call: &Call, server: &BackendId) {
+/// After a connection broke during a request, checks in the background whether the server crashed.
+pub(crate) fn check_for_crash(call: &Call, server: &BackendId) {
     let (instance, service) = (Rc::clone(&call.instance), Rc::clone(&call.service));
     let (server, request) = (server.clone(), call.req.fingerprint);
     monoio::spawn(async move {
-        if is_there(&instance, &service, &server).await {
+        if is_alive(&instance, &service, &server).await {
             return;
         }
         let note = CrashNote { server: server.hash(), request };
         log::warn!(server:% = server, request_hash:% = format!("{:032x}", request.0);
-            "server crashed with a request");
+            "server crashed while running a request");
         instance.take_crash(&note);
         instance.share_crash(note);
     });
 }
 
-async fn is_there(instance: &Instance, service: &Service, server: &BackendId) -> bool {
+async fn is_alive(instance: &Instance, service: &Service, server: &BackendId) -> bool {
     let Some(address) = service.address(server) else { return false };
-    // One that has just turned a request away is there, and is not to be asked.
+    // A paused server has just rejected a request, so it is alive; it must not be queried.
     if service.placement.borrow().is_paused(instance.now(), server) {
         return true;
     }
-    let look = async {
+    let probe = async {
         let io = TcpStream::connect_addr(address).await.ok()?;
         let connection = Connection::new(io, health::HEAD_LIMIT);
         let health = health::ask(instance, service, server, connection).await.ok()?;
         Some(!health.is_other)
     };
-    monoio::time::timeout(LOOK_TIME, look).await.is_ok_and(|found| found == Some(true))
+    monoio::time::timeout(PROBE_TIMEOUT, probe).await.is_ok_and(|alive| alive == Some(true))
 }
 
 impl Instance {
-    /// Takes note of a crash that this or another instance found.
+    /// Records a crash that this or another instance detected.
     pub(crate) fn take_crash(&self, note: &CrashNote) {
         self.suspects.borrow_mut().crashed(self.now(), note.server, &[note.request]);
     }
--- a/crates/galenapath-gateway/src/dialect.rs
+++ b/crates/galenapath-gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What a platform calls things: the seam between the gateway and an adapter.
+//! Names and formats of a platform: the interface that a platform adapter implements.
 
 use bytes::Bytes;
 use galenapath_protocol::LoadReport;
@@ -13,82 +13,84 @@
 pub struct HeaderNames {
     /// Identifier of one request, set by the caller and echoed by the backend server.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender goes on waiting for the answer.
+    /// Milliseconds until the sender stops waiting for the answer.
     pub time_left_ms: HeaderName,
     /// Identity of the only backend server that may run the request.
     pub expected_server: HeaderName,
     /// The backend server's signature of its answer.
     pub signature: HeaderName,
-    /// The backend server's load.
+    /// The backend server's load report.
     pub load: HeaderName,
-    /// Present where the backend server did not run the request.
+    /// Present if the backend server did not run the request.
     pub not_run: HeaderName,
-    /// Identity of the backend server that answers.
+    /// Identity of the answering backend server.
     pub server_id: HeaderName,
-    /// Milliseconds for which the backend server stays cold, with its answers to questions.
+    /// Milliseconds for which the backend server stays cold; sent with answers to load queries.
     pub cold_ms: HeaderName,
-    /// Requests a second that the backend server takes from all instances together, while it names them.
+    /// The backend server's rate limit: requests per second from all instances together. Absent
+    /// while it states none.
     pub rate_limit: HeaderName,
-    /// Present, and not `0`, where the backend server leaves.
+    /// Present with a value other than `0` while the backend server is leaving.
     pub leaving: HeaderName,
 }
 
-/// What a caller tells about itself when it asks where to connect.
+/// A caller's request for instance addresses to connect to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AddressQuery {
-    /// Host that it wants to reach.
+    /// Host that the caller will send requests to.
     pub host: String,
-    /// Failure domain that it is in.
+    /// Failure domain of the caller.
     pub domain: String,
 }
 
-/// A question to an instance other than a request to be forwarded.
+/// A request that an instance answers itself instead of forwarding it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Question {
     /// Whether the instance is ready.
     Ready,
-    /// Where to connect.
+    /// Which instances to connect to.
     Addresses(AddressQuery),
 }
 
-/// A platform's names and formats. It decides nothing.
+/// A platform's names and formats. Implementations make no load-balancing decisions.
 pub trait Dialect {
-    /// Names of headers.
+    /// Names of the headers.
     fn headers(&self) -> HeaderNames;
 
-    /// Reads the value of the load header.
+    /// Parses the value of the load header.
     fn load(&self, text: &str) -> Option<LoadReport>;
 
-    /// Start of the keys that the operator writes.
+    /// Prefix of the keys that the operator writes.
     fn operator_prefix(&self) -> &'static str;
 
     /// Key of the operator's configuration.
     fn config_key(&self) -> &'static str;
 
-    /// Start of the keys that each name a failure domain whose backend servers are to get nothing for as
-    /// long as the key is there.
+    /// Prefix of the keys that each name an evacuated failure domain. Its backend servers get no
+    /// requests while the key exists.
     fn evacuations_prefix(&self) -> &'static str;
 
-    /// Start of the keys under which backend servers are listed by their identities.
+    /// Prefix of the keys under which backend servers are listed by identity.
     fn servers_prefix(&self) -> &'static str;
 
-    /// Reads the operator's configuration.
+    /// Parses the operator's configuration.
     ///
     /// # Errors
     ///
-    /// What is wrong with it, for the log.
+    /// A description of the problem, for the log.
     fn route_table(&self, value: &[u8]) -> Result<RouteTable, String>;
 
-    /// Reads the entry of the backend server `id`.
+    /// Parses the entry of the backend server `id`.
     ///
     /// # Errors
     ///
-    /// What is wrong with it, for the log.
+    /// A description of the problem, for the log.
     fn server(&self, id: &str, value: &[u8]) -> Result<ServerRecord, String>;
 
-    /// Reads a question; `None` where the path is no question.
+    /// Parses a request to the instance itself; `None` for an unknown path.
     fn question(&self, uri: &Uri) -> Option<Question>;
 
-    /// The body of the answer to the question where to connect.
+    /// Encodes the body of the answer to an address request. Callers may use the addresses for
+    /// `keep_for`.
     fn addresses(&self, addresses: &[SocketAddr], keep_for: Duration) -> Bytes;
 }
--- a/crates/galenapath-gateway/src/fitness.rs
+++ b/crates/galenapath-gateway/src/fitness.rs
@@ -1,10 +1,12 @@
-//! Whether the server chosen for a request is still what it was taken for, asked just before the send.
+//! Checks, by a load query just before the send, that the selected server is still fit for the
+//! request.
 //!
-//! Load pattern: a pace that changes within a request, slots that other instances fill, and servers
-//! without a free slot, at which a new connection waits for one. A question there must not hold the
-//! request, which goes on elsewhere while the connection is opened for the next one.
+//! Load pattern: slowdowns that change within the time of a request, slots that other instances
+//! fill, and servers without a free slot, where a new connection waits for one. A load query to
+//! such a server must not hold up the request, which moves to another server; the connection is
+//! opened all the same, for the next request.
 
-use crate::attempt::{Fault, HEAD_LIMIT, connect};
+use crate::attempt::{AttemptError, HEAD_LIMIT, connect};
 use crate::call::Call;
 use crate::health::{self, Health};
 use crate::in_flight::InFlight;
@@ -19,86 +21,91 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Idle time up to which a kept connection carries a request that must not run twice without a
-/// question before it: one that the server has just closed would leave open whether it ran.
-const FRESH_IDLE: Micros = Micros::from_millis(100);
+/// Idle time up to which a connection is reused for a non-idempotent request without a load query
+/// first. If the server has just closed the connection, it is unknown whether the request ran.
+const MAX_TRUSTED_IDLE: Micros = Micros::from_millis(100);
 
-/// Age up to which a load is trusted without asking again. A server turns slow between two moments
-/// this far apart once in two hundred times; a crossing takes a few milliseconds.
-const FRESH_LOAD: Micros = Micros::from_millis(8);
+/// Age up to which a load observation is used without a new query. A server turns slow within this
+/// time in one of two hundred cases; a cross-domain round trip takes a few milliseconds.
+const MAX_TRUSTED_LOAD_AGE: Micros = Micros::from_millis(8);
 
-/// Longest time for a question, after which its connection is given up.
-const ASK_TIME: Duration = Duration::from_millis(150);
+/// Time after which a load query is abandoned and its connection closed.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Whether a server is asked for its load before a request goes there.
+/// Whether a server is queried for its load before a request is sent to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asking {
-    /// What is known is fresh, or the service tells no load.
-    Needless,
-    /// A question has been taken out of the budget.
+enum QueryDecision {
+    /// The observation is fresh, the service reports no load, or the server has a rate limit.
+    NotNeeded,
+    /// A query has been taken out of the budget.
     Allowed,
-    /// The budget is spent.
-    Spent,
+    /// The query budget is spent.
+    BudgetSpent,
 }
 
-fn asking(call: &Call, server: &BackendId) -> Asking {
+fn query_decision(call: &Call, server: &BackendId) -> QueryDecision {
     let (now, service) = (call.instance.now(), &call.service);
-    let seen = service.placement.borrow().seen(server);
-    let is_fresh = seen.is_some_and(|seen| now - seen.at <= FRESH_LOAD);
-    // A question takes from what a server bears that names a limit, and few others send there.
-    if is_fresh || !service.tells_load(now) || service.is_limited(server) {
-        Asking::Needless
-    } else if service.take_probe(now, server) {
-        Asking::Allowed
+    let observation = service.placement.borrow().seen(server);
+    let is_fresh = observation.is_some_and(|seen| now - seen.at <= MAX_TRUSTED_LOAD_AGE);
+    // A query counts towards the rate limit of a server that states one, and few other instances
+    // send requests to such a server.
+    if is_fresh || !service.reports_load(now) || service.is_limited(server) {
+        QueryDecision::NotNeeded
+    } else if service.try_take_query(now, server) {
+        QueryDecision::Allowed
     } else {
-        Asking::Spent
+        QueryDecision::BudgetSpent
     }
 }
 
-/// A connection to the server, and whether it was kept from an earlier request. Asks the server for
-/// its load first where what is known is too old to trust a request to it, or the kept connection
-/// too old to trust it a request that must not run twice.
-pub(crate) async fn connect_fit(
+/// Returns a connection to the server, and whether it is reused from an earlier request. Queries
+/// the server's load first if the load observation is stale, or if the request is non-idempotent
+/// and the connection has been idle for too long.
+pub(crate) async fn connect_if_fit(
     call: &Call,
     in_flight: &InFlight,
     address: SocketAddr,
-) -> Result<(Connection, bool), Fault> {
+) -> Result<(Connection, bool), AttemptError> {
     let (service, server) = (&call.service, &in_flight.server);
-    let asking = asking(call, server);
-    if asking == Asking::Spent && call.may_choose_anew() {
-        return Err(Fault::NotAsked);
+    let decision = query_decision(call, server);
+    if decision == QueryDecision::BudgetSpent && call.may_reselect() {
+        return Err(AttemptError::QueryBudgetSpent);
     }
     let now = call.instance.now();
     let kept = service.take_connection(now, server).await;
-    let is_once = call.req.route.kind == RouteKind::OnceOnly;
-    let is_old = is_once && kept.as_ref().is_some_and(|kept| kept.idle > FRESH_IDLE);
-    let may_ask_more = || {
-        service.tells_load(now) && !service.is_limited(server) && service.take_probe(now, server)
+    let is_non_idempotent = call.req.route.kind == RouteKind::OnceOnly;
+    let is_idle_too_long =
+        is_non_idempotent && kept.as_ref().is_some_and(|kept| kept.idle > MAX_TRUSTED_IDLE);
+    let may_check_connection = || {
+        service.reports_load(now)
+            && !service.is_limited(server)
+            && service.try_take_query(now, server)
     };
-    let asks =
-        asking == Asking::Allowed || (asking == Asking::Needless && is_old && may_ask_more());
-    if !asks {
-        return match kept.filter(|_| !is_old) {
+    let must_query = decision == QueryDecision::Allowed
+        || (decision == QueryDecision::NotNeeded && is_idle_too_long && may_check_connection());
+    if !must_query {
+        return match kept.filter(|_| !is_idle_too_long) {
             Some(kept) => Ok((kept.connection, true)),
             None => Ok((connect(call, address).await?, false)),
         };
     }
     let kept = kept.map(|kept| kept.connection);
-    let health = ask(call, server, address, kept).await?;
-    judge_fitness(call, in_flight, address, health).await
+    let answer = query_load(call, server, address, kept).await?;
+    check_fitness(call, in_flight, address, answer).await
 }
 
-/// Asks the server for its load.
-async fn ask(
+/// Queries the server's load. The query continues in the background if it takes too long for this
+/// request.
+async fn query_load(
     call: &Call,
     server: &BackendId,
     address: SocketAddr,
     kept: Option<Connection>,
-) -> Result<Health, Fault> {
+) -> Result<Health, AttemptError> {
     let instance = &call.instance;
-    let patience = instance.patience_with_questions();
+    let timeout = instance.patience_with_questions();
     let (tx, rx) = oneshot::channel();
-    monoio::spawn(question(
+    monoio::spawn(run_query(
         Rc::clone(instance),
         Rc::clone(&call.service),
         server.clone(),
@@ -106,17 +113,17 @@
         kept,
         tx,
     ));
-    match monoio::time::timeout(patience.into(), rx).await {
-        Ok(Ok(Health { is_other: true, .. })) => Err(Fault::OtherServer),
-        Ok(Ok(health)) => Ok(health),
-        // Whether the server is out of reach is for the regular probes to say.
-        Ok(Err(_)) | Err(_) => Err(Fault::Unfit),
+    match monoio::time::timeout(timeout.into(), rx).await {
+        Ok(Ok(Health { is_other: true, .. })) => Err(AttemptError::OtherServer),
+        Ok(Ok(answer)) => Ok(answer),
+        // Only the regular probes decide whether a server is unreachable.
+        Ok(Err(_)) | Err(_) => Err(AttemptError::Unfit),
     }
 }
 
-/// One question to a server; its answer goes to whoever still waits for it. Otherwise the connection is
-/// kept, so that the next question need not wait until it is open.
-async fn question(
+/// Runs one load query and passes the answer to the waiting request. If that has moved on, the
+/// connection is kept, so that the next query need not wait for one.
+async fn run_query(
     instance: Rc<Instance>,
     service: Rc<Service>,
     server: BackendId,
@@ -124,19 +131,19 @@
     kept: Option<Connection>,
     tx: oneshot::Sender<Health>,
 ) {
-    let asking = exchange(&instance, &service, &server, address, kept);
-    let Ok(Ok(health)) = monoio::time::timeout(ASK_TIME, asking).await else { return };
+    let query = send_query(&instance, &service, &server, address, kept);
+    let Ok(Ok(answer)) = monoio::time::timeout(QUERY_TIMEOUT, query).await else { return };
     instance.metrics.probes.with_label_values(&["before_send"]).inc();
-    if health.sighting.is_none() {
-        service.told_no_load(instance.now());
+    if answer.sighting.is_none() {
+        service.record_missing_load(instance.now());
     }
-    if let Err(Health { connection: Some(connection), stated_idle, .. }) = tx.send(health) {
+    if let Err(Health { connection: Some(connection), stated_idle, .. }) = tx.send(answer) {
         service.keep_connection(instance.now(), &server, connection, stated_idle);
     }
 }
 
-/// Asks on the kept connection, or on a new one where there is none or the server has closed it.
-async fn exchange(
+/// Sends the query on the kept connection, or on a new one if that is missing or fails.
+async fn send_query(
     instance: &Instance,
     service: &Service,
     server: &BackendId,
@@ -144,10 +151,10 @@
     kept: Option<Connection>,
 ) -> Result<Health, HttpError> {
     if let Some(kept) = kept {
-        let asked_at = instance.now();
-        if let Ok(health) = health::ask(instance, service, server, kept).await {
-            instance.question_took(instance.now() - asked_at);
-            return Ok(health);
+        let sent_at = instance.now();
+        if let Ok(answer) = health::ask(instance, service, server, kept).await {
+            instance.question_took(instance.now() - sent_at);
+            return Ok(answer);
         }
     }
     instance.count_connect("question");
@@ -155,19 +162,20 @@
     health::ask(instance, service, server, Connection::new(io, HEAD_LIMIT)).await
 }
 
-async fn judge_fitness(
+/// Returns the connection of the load query, or a new one, if the server is fit for the request.
+async fn check_fitness(
     call: &Call,
     in_flight: &InFlight,
     address: SocketAddr,
     Health { connection, stated_idle, .. }: Health,
-) -> Result<(Connection, bool), Fault> {
+) -> Result<(Connection, bool), AttemptError> {
     let (now, server) = (call.instance.now(), &in_flight.server);
-    let is_fit = call.service.placement.borrow().is_fit(now, server, in_flight.started);
-    if !is_fit && call.may_choose_anew() {
+    let is_fit = call.service.placement.borrow().is_fit(now, server, in_flight.snapshot);
+    if !is_fit && call.may_reselect() {
         if let Some(connection) = connection {
             call.service.keep_connection(now, server, connection, stated_idle);
         }
-        return Err(Fault::Unfit);
+        return Err(AttemptError::Unfit);
     }
     match connection {
         Some(connection) => Ok((connection, true)),
--- a/crates/galenapath-gateway/src/health.rs
+++ b/crates/galenapath-gateway/src/health.rs
@@ -1,8 +1,8 @@
-//! Asking a backend server for its load.
+//! Load queries to backend servers, and load reports in their answers.
 
 use crate::instance::Instance;
 use crate::reply;
-use crate::said::{Answer, Answered};
+use crate::said::{AnswerKind, ServerAnswer};
 use crate::service::Service;
 use crate::usage::Flow;
 use galenapath_http::{
@@ -16,29 +16,29 @@
 use http::{Method, StatusCode};
 use std::time::Duration;
 
-/// Largest head of an answer, in bytes.
+/// Maximum size of the head of an answer, in bytes.
 pub(crate) const HEAD_LIMIT: usize = 8 * 1024;
 
-/// Times for an answer; whoever asks sets a shorter limit.
+/// Upper limits on the time for an answer; users of [`ask`] set a shorter one.
 const TIMES: HeadTimes = HeadTimes { idle: Duration::from_secs(1), head: Duration::from_secs(1) };
 
-/// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 
-/// What a backend server said.
+/// A backend server's answer to a load query.
 pub(crate) struct Health {
-    /// Its load, where it tells.
+    /// The server's load, if it reports one.
     pub(crate) sighting: Option<Sighting>,
-    /// Whether another server has the address.
+    /// Whether a different server has the address.
     pub(crate) is_other: bool,
-    /// The connection, where it can be used again.
+    /// The connection, if it can be reused.
     pub(crate) connection: Option<Connection>,
-    /// Idle time after which the server closes it, where it says.
+    /// Idle time after which the server closes the connection, if it states one.
     pub(crate) stated_idle: Option<Micros>,
 }
 
-/// Asks the server behind `connection` and takes note of what it says. Its status is not believed:
-/// servers that are well may say that they are not, and the reverse.
+/// Queries the load of the server on `connection` and applies everything that the answer reports.
+/// Its status code is ignored, because healthy servers may report that they are unhealthy, and the
+/// reverse.
 pub(crate) async fn ask(
     instance: &Instance,
     service: &Service,
@@ -50,9 +50,9 @@
         headers.insert(HOST, host);
     }
     let path = service.spec.borrow().health_path.clone();
-    // An instance that waits for its processor reads the answer late: what it says was true when the
-    // question went out at the earliest.
-    let asked_at = instance.now();
+    // The observation is dated to the query: an instance short of processor time may read the
+    // answer long after the load was as reported.
+    let queried_at = instance.now();
     put_request(connection.output(), &Method::GET, &path, &headers, &[], Framing::None);
     connection.flush().await?;
     let head = connection.read_response(TIMES).await?;
@@ -63,14 +63,14 @@
     service.placement.borrow_mut().reached(id);
     let is_other = is_other(instance, service, id, &head);
     if !is_other {
-        note_warmth(instance, service, id, &head);
-        let (head, answered, sent_at) = (&head, Answered::Question, asked_at);
-        Answer { instance, service, id, head, answered, sent_at }.note();
+        apply_warm_up(instance, service, id, &head);
+        let (head, kind, sent_at) = (&head, AnswerKind::LoadQuery, queried_at);
+        ServerAnswer { instance, service, id, head, kind, sent_at }.apply();
     }
     let closes = reply::closes(&head.headers) || framing == Framing::UntilClose;
     let is_clean = !closes && !connection.has_unread();
     Ok(Health {
-        sighting: note(instance, service, id, &head, asked_at),
+        sighting: apply_load(instance, service, id, &head, queried_at),
         is_other,
         connection: is_clean.then_some(connection),
         stated_idle: reply::stated_idle(&head.headers),
@@ -82,63 +82,64 @@
 }
 
 fn is_other(instance: &Instance, service: &Service, id: &BackendId, head: &ResponseHead) -> bool {
-    let told = head.headers.get(&instance.names.server_id);
+    let stated = head.headers.get(&instance.names.server_id);
     let listed = service.listed_id(id);
-    let is_other = told.is_some_and(|told| listed.is_none_or(|listed| told != &*listed.0))
+    let is_other = stated.is_some_and(|stated| listed.is_none_or(|listed| stated != &*listed.0))
         || head.status == StatusCode::MISDIRECTED_REQUEST;
     if is_other {
-        log::info!(server:% = id; "another server has the address");
+        log::info!(server:% = id; "address belongs to another server");
         service.placement.borrow_mut().mark_leaving(id);
     }
     is_other
 }
 
-/// Takes note of how much longer the server stays cold, where it says so, and tells others what is news.
-fn note_warmth(instance: &Instance, service: &Service, id: &BackendId, head: &ResponseHead) {
-    let told = head.headers.get(&instance.names.cold_ms).and_then(|value| value.to_str().ok());
-    let told_ms = told.and_then(|text| text.trim().parse::<f64>().ok());
-    // No time at all, or one that no clock holds, tells nothing.
-    let left = told_ms.and_then(|ms| Duration::try_from_secs_f64(ms / MS_PER_S).ok());
+/// Applies the time for which the server states that it stays cold, if any, and shares changes with the
+/// other instances.
+fn apply_warm_up(instance: &Instance, service: &Service, id: &BackendId, head: &ResponseHead) {
+    let stated = head.headers.get(&instance.names.cold_ms).and_then(|value| value.to_str().ok());
+    let stated_ms = stated.and_then(|text| text.trim().parse::<f64>().ok());
+    // Negative and overflowing values and those that are not numbers are ignored.
+    let left = stated_ms.and_then(|ms| Duration::try_from_secs_f64(ms / MS_PER_S).ok());
     let Some(left) = left.map(Micros::from) else { return };
-    let news = service.placement.borrow_mut().set_cold(instance.now(), id, left);
-    let Some(cold_until) = news else { return };
+    let changed = service.placement.borrow_mut().set_cold(instance.now(), id, left);
+    let Some(cold_until) = changed else { return };
     instance.share_warmth(service, id, cold_until);
     if instance.may_log(LineKind::Peer) {
         let cold_ms = left.0 / 1_000;
-        log::info!(server:% = id, cold_ms; "server cold or warm");
+        log::info!(server:% = id, cold_ms; "server warm-up changed");
     }
 }
 
-/// Takes note of the load that comes with the answer to a question and was true at `at`, and tells others
-/// what is news.
-fn note(
+/// Applies the load report in the answer to a load query, dated to `at`, and shares changes with
+/// the other instances.
+fn apply_load(
     instance: &Instance,
     service: &Service,
     id: &BackendId,
     head: &ResponseHead,
     at: Micros,
 ) -> Option<Sighting> {
-    let sighting = read(instance, head, at)?;
-    if service.see(instance, id, sighting) {
-        instance.share_load(service, id, sighting);
+    let observation = read_load(instance, head, at)?;
+    if service.see(instance, id, observation) {
+        instance.share_load(service, id, observation);
     }
-    Some(sighting)
+    Some(observation)
 }
 
-/// Takes note of the load that comes with the answer to a request; returns it where it is news. The
-/// others are told once it is clear whether a request that waits here takes the slot.
-pub(crate) fn note_answer(
+/// Applies the load report in the answer to a request; returns it if it is an update. It is shared
+/// with the other instances only once it is known whether a request waiting here takes the slot.
+pub(crate) fn apply_answer_load(
     instance: &Instance,
     service: &Service,
     id: &BackendId,
     head: &ResponseHead,
 ) -> Option<Sighting> {
     service.placement.borrow_mut().reached(id);
-    let sighting = read(instance, head, instance.now())?;
-    service.see(instance, id, sighting).then_some(sighting)
+    let observation = read_load(instance, head, instance.now())?;
+    service.see(instance, id, observation).then_some(observation)
 }
 
-fn read(instance: &Instance, head: &ResponseHead, at: Micros) -> Option<Sighting> {
+fn read_load(instance: &Instance, head: &ResponseHead, at: Micros) -> Option<Sighting> {
     let text = head.headers.get(&instance.names.load)?.to_str().ok()?;
     Some(Sighting { at, report: instance.dialect.load(text)? })
 }
--- a/crates/galenapath-gateway/src/in_flight.rs
+++ b/crates/galenapath-gateway/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request that is counted at a server.
+//! Accounting of requests at backend servers.
 
 use crate::instance::Instance;
 use crate::service::Service;
@@ -7,43 +7,43 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A request that is counted at a server. Dropping it takes it off.
+/// A request counted in a server's load until dropped.
 pub(crate) struct InFlight {
     service: Rc<Service>,
     instance: Rc<Instance>,
     pub(crate) server: BackendId,
-    /// How the server looked.
-    pub(crate) started: Started,
+    /// What was known of the server when it was selected.
+    pub(crate) snapshot: Started,
     is_sent: Cell<bool>,
-    /// What the server told of its load with the answer.
-    pub(crate) told: Cell<Option<Sighting>>,
+    /// The load that the server reported with its answer, if it is an update to share.
+    pub(crate) answer_load: Cell<Option<Sighting>>,
 }
 
 impl InFlight {
     /// Counts a request at `server`.
     pub(crate) fn start(service: &Rc<Service>, instance: &Rc<Instance>, server: BackendId) -> Self {
         let started = service.placement.borrow_mut().start(instance.now(), &server);
-        Self::started(service, instance, Given { server, started })
+        Self::assigned(service, instance, Given { server, started })
     }
 
-    /// Takes over a request that is counted already.
-    pub(crate) fn started(service: &Rc<Service>, instance: &Rc<Instance>, given: Given) -> Self {
-        let Given { server, started } = given;
+    /// Takes over a request that is already counted at its server.
+    pub(crate) fn assigned(service: &Rc<Service>, instance: &Rc<Instance>, given: Given) -> Self {
+        let Given { server, started: snapshot } = given;
         let (service, instance) = (Rc::clone(service), Rc::clone(instance));
         Self {
             service,
             instance,
             server,
-            started,
+            snapshot,
             is_sent: Cell::new(false),
-            told: Cell::new(None),
+            answer_load: Cell::new(None),
         }
     }
 }
 
 impl InFlight {
-    /// The request is on its way.
-    pub(crate) fn sent(&self) {
+    /// Records that the request has been sent, and shares the server's new load.
+    pub(crate) fn mark_sent(&self) {
         self.count_sent();
         self.instance.note_send(!self.service.is_home(&self.server));
         self.share_load();
@@ -55,12 +55,13 @@
         }
     }
 
-    /// Tells the others of the slot that this request takes: they would fill it as well.
+    /// Reports the slot that this request takes to the other instances, which might otherwise send
+    /// their requests to it as well.
     fn share_load(&self) {
         let placement = self.service.placement.borrow();
-        let Some(seen) = placement.seen(&self.server) else { return };
+        let Some(observation) = placement.seen(&self.server) else { return };
         let load = placement.load(&self.server);
-        self.instance.share_load(&self.service, &self.server, seen.with_load(load));
+        self.instance.share_load(&self.service, &self.server, observation.with_load(load));
     }
 }
 
@@ -69,8 +70,8 @@
         self.count_sent();
         self.service.placement.borrow_mut().finish(&self.server);
         self.service.poll(&self.instance);
-        let Some(told) = self.told.take() else { return };
+        let Some(observation) = self.answer_load.take() else { return };
         let load = self.service.placement.borrow().load(&self.server);
-        self.instance.share_load(&self.service, &self.server, told.with_load(load));
+        self.instance.share_load(&self.service, &self.server, observation.with_load(load));
     }
 }
--- a/crates/galenapath-gateway/src/loss.rs
+++ b/crates/galenapath-gateway/src/loss.rs
@@ -1,23 +1,23 @@
-//! Telling requests at a server that it is out of reach.
+//! Notifies requests in flight when their server is found unreachable.
 //!
-//! Load pattern: many servers vanish at once without a sign. Time alone tells late that a request has gone
-//! with one: where work takes a second, its copy leaves when the target is nearly over. A server that
-//! answers no probe either says it sooner.
+//! Load pattern: many servers disappear at once without closing their connections. Elapsed time
+//! alone shows late that a request is lost: where work takes a second, its hedge is sent when the
+//! target has nearly passed. Failed probes show sooner that the server is unreachable.
 
 use futures::channel::oneshot;
 use galenapath_protocol::{BackendId, FastMap};
 use std::cell::RefCell;
 
-/// Requests at servers, which wait to hear that theirs is out of reach.
+/// Requests to be notified when their server is found unreachable.
 #[derive(Default)]
-pub(crate) struct Losses {
+pub(crate) struct LossWatchers {
     /// Invariant: no empty lists.
     waiting: RefCell<FastMap<BackendId, Vec<oneshot::Sender<()>>>>,
 }
 
-impl Losses {
-    /// Resolves when the server is found out of reach.
-    pub(crate) fn of(&self, id: &BackendId) -> oneshot::Receiver<()> {
+impl LossWatchers {
+    /// Returns a receiver that resolves when the server is found unreachable.
+    pub(crate) fn watch(&self, id: &BackendId) -> oneshot::Receiver<()> {
         let (tx, rx) = oneshot::channel();
         let mut waiting = self.waiting.borrow_mut();
         let at_server = waiting.entry(id.clone()).or_default();
@@ -26,20 +26,20 @@
         rx
     }
 
-    /// A server has been found out of reach.
-    pub(crate) fn tell(&self, id: &BackendId) {
+    /// Notifies the requests at a server that has been found unreachable.
+    pub(crate) fn notify(&self, id: &BackendId) {
         let at_server = self.waiting.borrow_mut().remove(id).unwrap_or_default();
         for tx in at_server {
-            // Whoever waited may have its answer by now.
+            // Fails if the request has ended in the meantime.
             let _ = tx.send(());
         }
     }
 
-    /// Leaves out servers that are gone.
-    pub(crate) fn retain(&self, is_there: impl Fn(&BackendId) -> bool) {
+    /// Removes ended requests and servers that are no longer listed.
+    pub(crate) fn retain(&self, is_listed: impl Fn(&BackendId) -> bool) {
         self.waiting.borrow_mut().retain(|id, at_server| {
             at_server.retain(|tx| !tx.is_canceled());
-            is_there(id) && !at_server.is_empty()
+            is_listed(id) && !at_server.is_empty()
         });
     }
 }
--- a/crates/galenapath-gateway/src/notices.rs
+++ b/crates/galenapath-gateway/src/notices.rs
@@ -1,7 +1,8 @@
-//! What instances know and tell each other of what backend servers have said of themselves.
+//! Notices about backend servers between instances: rate limits, and servers that are leaving.
 //!
-//! Whoever hears something new tells all instances at once. One of them tells it again now and then to those that
-//! serve callers, some of which may have missed it, and one that becomes ready is told what is known.
+//! An instance that receives an update from a server sends it to all instances at once. One
+//! instance repeats it every [`REPEAT_PERIOD`] to those that serve callers, because a datagram may
+//! have been lost. An instance that becomes ready receives the notices in force.
 
 use crate::fleet::{self, Datagram, LimitNote, Notices};
 use crate::instance::{Instance, sleep_to_next};
@@ -14,99 +15,101 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Time between two tellings of what is no news.
-const TELL_AGAIN: Micros = Micros::from_secs(2);
+/// Period at which notices in force are repeated.
+const REPEAT_PERIOD: Micros = Micros::from_secs(2);
 
-/// Most notes in one datagram, so that it fits one packet.
-const MOST_NOTES: usize = 50;
+/// Limits a datagram to the size of one packet.
+const MAX_NOTES_PER_DATAGRAM: usize = 50;
 
-/// What another instance is told of a limit.
-pub(crate) fn limit_note(now: Micros, id: &BackendId, word: RateLimit) -> LimitNote {
-    let RateLimit { per_second, said_at } = word;
+/// The notice sent to other instances about a rate limit.
+pub(crate) fn limit_note(now: Micros, id: &BackendId, limit: RateLimit) -> LimitNote {
+    let RateLimit { per_second, said_at } = limit;
     LimitNote { server: id.hash(), per_second, age: now - said_at }
 }
 
 impl Instance {
-    /// Takes in what a server said of its rate limit; returns whether it is news.
-    pub(crate) fn hear_limit(
+    /// Applies a server's rate limit; returns whether it is an update. `source` is logged.
+    pub(crate) fn apply_rate_limit(
         &self,
         service: &Service,
         id: &BackendId,
-        word: RateLimit,
-        told_by: &'static str,
+        rate_limit: RateLimit,
+        source: &'static str,
     ) -> bool {
-        if !service.placement.borrow_mut().hear_limit(self.now(), id, word) {
+        if !service.placement.borrow_mut().hear_limit(self.now(), id, rate_limit) {
             return false;
         }
         probe::share_scarce(self);
         if self.may_log(LineKind::Peer) {
-            let (is_limited, limit) = (word.per_second.is_some(), word.per_second.unwrap_or(0.0));
-            log::info!(server:% = id, is_limited, limit, told_by; "rate limit of a server");
+            let (is_limited, limit) =
+                (rate_limit.per_second.is_some(), rate_limit.per_second.unwrap_or(0.0));
+            log::info!(server:% = id, is_limited, limit, told_by = source;
+                "server rate limit changed");
         }
         true
     }
 
-    /// Takes in that a server leaves; returns whether it is news.
-    pub(crate) fn hear_leaving(
+    /// Marks a server as leaving; returns whether that is an update. `source` is logged.
+    pub(crate) fn apply_leaving(
         &self,
         service: &Service,
         id: &BackendId,
-        told_by: &'static str,
+        source: &'static str,
     ) -> bool {
         if !self.state.borrow_mut().leaving.add(self.now(), id) {
             return false;
         }
         service.placement.borrow_mut().mark_leaving(id);
         if self.may_log(LineKind::Peer) {
-            log::info!(server:% = id, told_by; "server says that it leaves");
+            log::info!(server:% = id, told_by = source; "server is leaving");
         }
         true
     }
 
-    /// Takes in what another instance has heard from servers.
+    /// Applies notices from another instance.
     pub(crate) fn take_notices(&self, notices: &Notices) {
         let now = self.now();
         let services: Vec<_> = self.services.borrow().values().cloned().collect();
         for service in services {
-            // One that nobody uses yet may not have taken the list in.
+            // A service that is not in use may not have applied the current server list.
             service.refresh(self);
             for note in &notices.limits {
                 let Some(id) = service.by_hash(note.server) else { continue };
-                let word = RateLimit { per_second: note.per_second, said_at: now - note.age };
-                self.hear_limit(&service, &id, word, "peer");
+                let limit = RateLimit { per_second: note.per_second, said_at: now - note.age };
+                self.apply_rate_limit(&service, &id, limit, "peer");
             }
             for id in notices.leaving.iter().filter_map(|hash| service.by_hash(*hash)) {
-                self.hear_leaving(&service, &id, "peer");
+                self.apply_leaving(&service, &id, "peer");
             }
         }
     }
 
-    /// Tells all instances what is news: stray requests come to any of them.
-    pub(crate) fn tell(&self, notices: &Notices) {
+    /// Sends updates to all instances, because stray requests may reach any of them.
+    pub(crate) fn broadcast_notices(&self, notices: &Notices) {
         let all = self.beats.borrow().all();
         self.send_notices(notices, &all);
     }
 
-    /// Tells the instances that serve callers what is no news any more.
-    fn tell_again(&self) {
+    /// Sends the notices in force to the instances that serve callers.
+    fn repeat_notices(&self) {
         let notices = self.notices(Placement::limits_told_again);
         if notices.is_empty() {
             return;
         }
         let to: Vec<SocketAddr> = {
-            let beats = self.beats.borrow();
-            let serving = beats.peers().filter(|p| p.is_up() && p.vitals.serves_callers);
+            let membership = self.beats.borrow();
+            let serving = membership.peers().filter(|p| p.is_up() && p.vitals.serves_callers);
             serving.map(|peer| peer.member.peers).collect()
         };
         self.send_notices(&notices, &to);
     }
 
-    /// Tells an instance that has just become ready what servers have said: all that is known, where it is of the
-    /// own failure domain, so that it need not be told by the servers.
-    pub(crate) fn tell_newcomer(&self, newcomer: SocketAddr) {
-        let is_home = self.beats.borrow().is_home(&newcomer);
+    /// Sends the notices in force to an instance that has just become ready. An instance in the
+    /// same failure domain gets all known limits, so that it need not learn them from the servers.
+    pub(crate) fn tell_newcomer(&self, address: SocketAddr) {
+        let is_home = self.beats.borrow().is_home(&address);
         let limits = if is_home { Placement::limits_told } else { Placement::limits_told_again };
-        self.send_notices(&self.notices(limits), &[newcomer]);
+        self.send_notices(&self.notices(limits), &[address]);
     }
 
     fn send_notices(&self, notices: &Notices, to: &[SocketAddr]) {
@@ -116,7 +119,8 @@
         }
     }
 
-    /// Servers that have told this instance lately that they leave, and the limits that `limits` picks.
+    /// Collects the leaving servers whose notices this instance repeats, and the rate limits that
+    /// `limits` selects.
     fn notices(&self, limits: fn(&Placement, Micros) -> Vec<(BackendId, RateLimit)>) -> Notices {
         let now = self.now();
         let leaving =
@@ -124,25 +128,25 @@
         let mut notices = Notices { leaving, ..Notices::default() };
         for service in self.services.borrow().values() {
             let limits = limits(&service.placement.borrow(), now);
-            notices.limits.extend(limits.iter().map(|(id, word)| limit_note(now, id, *word)));
+            notices.limits.extend(limits.iter().map(|(id, limit)| limit_note(now, id, *limit)));
         }
         notices
     }
 }
 
-/// The notices in parts that fit a datagram each.
+/// Splits the notices into parts that each fit one datagram.
 fn split(notices: &Notices) -> Vec<Notices> {
-    let limits = notices.limits.chunks(MOST_NOTES);
+    let limits = notices.limits.chunks(MAX_NOTES_PER_DATAGRAM);
     let limits = limits.map(|part| Notices { limits: part.to_vec(), ..Notices::default() });
-    let leaving = notices.leaving.chunks(MOST_NOTES);
+    let leaving = notices.leaving.chunks(MAX_NOTES_PER_DATAGRAM);
     let leaving = leaving.map(|part| Notices { leaving: part.to_vec(), ..Notices::default() });
     limits.chain(leaving).collect()
 }
 
-/// Tells now and then what servers have said and is no news any more, for as long as the instance runs.
+/// Repeats the notices in force for as long as the instance runs.
 pub(crate) async fn run(instance: Rc<Instance>) {
     loop {
-        sleep_to_next(&instance, TELL_AGAIN).await;
-        instance.tell_again();
+        sleep_to_next(&instance, REPEAT_PERIOD).await;
+        instance.repeat_notices();
     }
 }
--- a/crates/galenapath-gateway/src/pool.rs
+++ b/crates/galenapath-gateway/src/pool.rs
@@ -1,50 +1,53 @@
-//! Idle connections to backend servers.
+//! Pools of idle connections to backend servers.
 
 use galenapath_http::Connection;
 use galenapath_protocol::{BackendId, FastMap, Micros};
 use std::cell::RefCell;
 
-/// Idle connections kept for one server; more are needed only for a moment.
-const MOST_KEPT: usize = 4;
+/// More idle connections to one server than this are needed only briefly.
+const MAX_IDLE_PER_SERVER: usize = 4;
 
-/// Time before the end that a server states for idle connections at which one is no longer used: a
-/// request must not cross the server's close.
-const MARGIN: Micros = Micros::from_millis(1_500);
+/// Time before a server's stated idle timeout from which a connection is no longer reused, so that
+/// the server does not close it while a request is in transit.
+const CLOSE_MARGIN: Micros = Micros::from_millis(1_500);
 
-/// Idle time after which a connection is not used again where the server states nothing.
-const DEFAULT_IDLE: Micros = Micros::from_secs(4);
+/// Idle time after which a connection is not reused if the server states no timeout.
+const DEFAULT_IDLE_TIMEOUT: Micros = Micros::from_secs(4);
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Micros,
     until: Micros,
 }
 
-/// A connection that was idle.
-pub(crate) struct Kept {
+/// A connection taken from the pool.
+pub(crate) struct PooledConnection {
     pub(crate) connection: Connection,
-    /// For how long.
+    /// For how long it was idle.
     pub(crate) idle: Micros,
 }
 
 /// Idle connections to the servers of one service.
 #[derive(Default)]
 pub(crate) struct Pools {
-    idle: RefCell<FastMap<BackendId, Vec<Idle>>>,
+    idle: RefCell<FastMap<BackendId, Vec<IdleConnection>>>,
 }
 
 impl Pools {
-    /// Takes a connection that the server has not closed as far as can be seen.
-    pub(crate) async fn take(&self, now: Micros, id: &BackendId) -> Option<Kept> {
+    /// Takes an unexpired connection that the server has not visibly closed.
+    pub(crate) async fn take(&self, now: Micros, id: &BackendId) -> Option<PooledConnection> {
         loop {
             let mut idle = self.idle.borrow_mut().get_mut(id)?.pop()?;
             if idle.until >= now && !idle.connection.is_stale().await {
-                return Some(Kept { connection: idle.connection, idle: now - idle.since });
+                return Some(PooledConnection {
+                    connection: idle.connection,
+                    idle: now - idle.since,
+                });
             }
         }
     }
 
-    /// Keeps a connection whose last answer was read to its end. `stated` is the idle time after
+    /// Keeps a connection whose last answer was read completely. `stated` is the idle time after
     /// which the server closes it.
     pub(crate) fn keep(
         &self,
@@ -54,35 +57,36 @@
         stated: Option<Micros>,
     ) {
         connection.shrink();
-        let limit = stated.map_or(DEFAULT_IDLE, |stated| stated - MARGIN);
+        let limit = stated.map_or(DEFAULT_IDLE_TIMEOUT, |stated| stated - CLOSE_MARGIN);
         let mut idle = self.idle.borrow_mut();
         let pool = idle.entry(id.clone()).or_default();
         pool.retain(|kept| kept.until >= now);
-        if pool.len() < MOST_KEPT && limit > Micros::ZERO {
-            pool.push(Idle { connection, since: now, until: now + limit });
+        if pool.len() < MAX_IDLE_PER_SERVER && limit > Micros::ZERO {
+            pool.push(IdleConnection { connection, since: now, until: now + limit });
         }
     }
 
-    /// Closes the connections to servers that are gone.
-    pub(crate) fn retain(&self, is_there: impl Fn(&BackendId) -> bool) {
-        self.idle.borrow_mut().retain(|id, _| is_there(id));
+    /// Closes the connections to servers for which `should_keep` is false.
+    pub(crate) fn retain(&self, should_keep: impl Fn(&BackendId) -> bool) {
+        self.idle.borrow_mut().retain(|id, _| should_keep(id));
     }
 
-    /// Whether a connection to the server is kept.
+    /// Whether the pool has a connection to the server.
     pub(crate) fn has(&self, id: &BackendId) -> bool {
         self.idle.borrow().get(id).is_some_and(|pool| !pool.is_empty())
     }
 
-    /// Closes connections that have been idle for too long. Returns the servers that none is left to.
+    /// Closes connections that have been idle for too long. Returns the servers whose last
+    /// connection was closed.
     pub(crate) fn prune(&self, now: Micros) -> Vec<BackendId> {
-        let mut left = Vec::new();
+        let mut emptied = Vec::new();
         self.idle.borrow_mut().retain(|id, pool| {
             pool.retain(|idle| idle.until >= now);
             if pool.is_empty() {
-                left.push(id.clone());
+                emptied.push(id.clone());
             }
             !pool.is_empty()
         });
-        left
+        emptied
     }
 }
--- a/crates/galenapath-gateway/src/questions.rs
+++ b/crates/galenapath-gateway/src/questions.rs
@@ -1,4 +1,4 @@
-//! Listeners beside that for requests: readiness, where to connect, metrics.
+//! Serves the control listeners: readiness, instance addresses and metrics.
 
 use crate::addresses;
 use crate::dialect::Question;
@@ -11,25 +11,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest head of a question, in bytes.
+/// Maximum size of the head of a control request, in bytes.
 const HEAD_LIMIT: usize = 8 * 1024;
 
-/// Times for one question.
-const TIMES: HeadTimes = HeadTimes { idle: Duration::from_secs(10), head: Duration::from_secs(2) };
+/// Timeouts for one control request.
+const TIMEOUTS: HeadTimes =
+    HeadTimes { idle: Duration::from_secs(10), head: Duration::from_secs(2) };
 
-/// Pause after a failed accept, so that a lack of descriptors does not spin.
+/// Pause after a failed accept, which avoids a busy loop while file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Path of the metrics.
-const METRICS: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 
 struct Reply {
     status: StatusCode,
-    content: &'static str,
+    content_type: &'static str,
     body: Bytes,
 }
 
-/// Answers questions on `listener` for as long as the instance runs.
+/// Serves control requests on `listener` for as long as the instance runs.
 pub(crate) async fn serve(instance: Rc<Instance>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -37,7 +37,7 @@
                 monoio::spawn(serve_connection(Rc::clone(&instance), io));
             }
             Err(e) => {
-                log::warn!(error:% = e; "a question was not accepted");
+                log::warn!(error:% = e; "control connection was not accepted");
                 monoio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -46,13 +46,13 @@
 
 async fn serve_connection(instance: Rc<Instance>, io: TcpStream) {
     let mut connection = Connection::new(io, HEAD_LIMIT);
-    while let Ok(head) = connection.read_request(TIMES).await {
+    while let Ok(head) = connection.read_request(TIMEOUTS).await {
         let reply = answer(&instance, &head);
         let is_last = head.version != Version::HTTP_11
             || connection_has(&head.headers, "close")
             || instance.stage.get() == Stage::Closing;
         let mut headers = HeaderMap::new();
-        headers.insert(CONTENT_TYPE, HeaderValue::from_static(reply.content));
+        headers.insert(CONTENT_TYPE, HeaderValue::from_static(reply.content_type));
         if is_last {
             headers.insert(http::header::CONNECTION, HeaderValue::from_static("close"));
         }
@@ -71,17 +71,17 @@
 }
 
 fn answer(instance: &Instance, head: &RequestHead) -> Reply {
-    let json = |status, body| Reply { status, content: "application/json", body };
-    if head.uri.path() == METRICS {
+    let json = |status, body| Reply { status, content_type: "application/json", body };
+    if head.uri.path() == METRICS_PATH {
         instance.refresh_ages();
         let body = instance.metrics.page().into();
-        return Reply { status: StatusCode::OK, content: "text/plain; version=0.0.4", body };
+        return Reply { status: StatusCode::OK, content_type: "text/plain; version=0.0.4", body };
     }
     match instance.dialect.question(&head.uri) {
         Some(Question::Ready) if instance.is_ready() => json(StatusCode::OK, Bytes::new()),
         Some(Question::Ready) => json(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
         Some(Question::Addresses(query)) => {
-            let addresses = addresses::answer(instance, &query.domain);
+            let addresses = addresses::addresses_for_caller(instance, &query.domain);
             if addresses.is_empty() {
                 return json(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
             }
--- a/crates/galenapath-gateway/src/reply.rs
+++ b/crates/galenapath-gateway/src/reply.rs
@@ -1,4 +1,4 @@
-//! A backend server's answer: read, checked and kept until it is passed on.
+//! Reads and checks backend servers' answers.
 
 use crate::dialect::HeaderNames;
 use bytes::{Bytes, BytesMut};
@@ -11,55 +11,55 @@
 use http::{Method, StatusCode};
 use std::time::Duration;
 
-/// Answers up to this many bytes are read whole before their head is passed on, so that one that
-/// breaks off can be fetched again elsewhere; the rest of a larger one is streamed.
-const BUFFERED: usize = 256 * 1024;
+/// Answers of up to this many bytes are read completely before their head is forwarded, so that the
+/// request can be retried if the answer is aborted. The rest of a larger answer is streamed.
+const BUFFER_LIMIT: usize = 256 * 1024;
 
-/// Answers to other requests that are skipped on a connection: one that was given up, and its
-/// double.
-const MOST_FOREIGN: usize = 2;
+/// Answers to other requests skipped on a connection: one to a cancelled request, and its
+/// duplicate.
+const MAX_SKIPPED_ANSWERS: usize = 2;
 
-/// Longest time for a head after its first byte.
-const HEAD_TIME: Duration = Duration::from_secs(2);
+/// Time for a head, from its first byte.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest wait for the first byte; the deadline of the request ends it earlier.
-const FIRST_BYTE_TIME: Duration = Duration::from_secs(60);
+/// Upper limit on the wait for the first byte; the deadline of the request ends it earlier.
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What is left of an answer that is too large to be read first.
-pub(crate) struct Rest {
+/// The unread part of the body of an answer that is too large to be buffered.
+pub(crate) struct RemainingBody {
     pub(crate) connection: Connection,
     pub(crate) body: BodyState,
-    /// Whether the server is in the own failure domain.
+    /// Whether the server is in this instance's failure domain.
     pub(crate) is_home: bool,
 }
 
-/// An answer.
+/// A backend server's answer.
 pub(crate) struct Reply {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) framing: Framing,
-    /// The body, or its start.
+    /// The whole body, or the beginning of one that is too large to be buffered.
     pub(crate) start: Bytes,
-    pub(crate) rest: Option<Rest>,
+    pub(crate) rest: Option<RemainingBody>,
 }
 
-/// What the head of an answer says.
+/// Classification of an answer by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeadVerdict {
     /// The answer to this request.
     Answer,
     /// The backend server did not run the request.
     NotRun,
-    /// Another backend server has the address.
+    /// A different backend server has the address.
     OtherServer,
     /// The answer to another request.
     Foreign,
-    /// Not an answer that may be passed on.
-    Bad(&'static str),
+    /// The answer must not be forwarded.
+    Invalid(&'static str),
 }
 
-/// Judges the head of an answer to the request `id`.
-pub(crate) fn judge(
+/// Classifies the answer to the request `id`.
+pub(crate) fn classify(
     names: &HeaderNames,
     head: &ResponseHead,
     id: Option<&http::HeaderValue>,
@@ -76,21 +76,21 @@
         return HeadVerdict::NotRun;
     }
     if has(&CONTENT_ENCODING) {
-        return HeadVerdict::Bad("encoded");
+        return HeadVerdict::Invalid("encoded");
     }
     if head.status.is_success() && !has(&names.signature) {
-        return HeadVerdict::Bad("unsigned");
+        return HeadVerdict::Invalid("unsigned");
     }
     if head.status.is_success() && echoed.is_none() {
-        return HeadVerdict::Bad("unidentified");
+        return HeadVerdict::Invalid("unidentified");
     }
     if promises_not_run(head.status) {
-        return HeadVerdict::Bad("unproven_refusal");
+        return HeadVerdict::Invalid("unproven_refusal");
     }
     HeadVerdict::Answer
 }
 
-/// Statuses by which a caller is promised that its request has not run.
+/// Whether a status assures the caller that its request has not run.
 fn promises_not_run(status: StatusCode) -> bool {
     matches!(
         status,
@@ -101,25 +101,25 @@
     )
 }
 
-/// Reads heads until one that is not about another request.
+/// Reads the head of the answer to the request `id`, skipping answers to other requests.
 pub(crate) async fn read_head(
     connection: &mut Connection,
     names: &HeaderNames,
     method: &Method,
     id: Option<&http::HeaderValue>,
 ) -> Result<(ResponseHead, HeadVerdict), HttpError> {
-    let times = HeadTimes { idle: FIRST_BYTE_TIME, head: HEAD_TIME };
-    let mut foreign = 0;
+    let times = HeadTimes { idle: FIRST_BYTE_TIMEOUT, head: HEAD_TIMEOUT };
+    let mut skipped = 0;
     loop {
         let head = connection.read_response(times).await?;
         if head.status.is_informational() {
             continue;
         }
-        let verdict = judge(names, &head, id);
-        if verdict != HeadVerdict::Foreign || foreign == MOST_FOREIGN {
+        let verdict = classify(names, &head, id);
+        if verdict != HeadVerdict::Foreign || skipped == MAX_SKIPPED_ANSWERS {
             return Ok((head, verdict));
         }
-        foreign += 1;
+        skipped += 1;
         let framing = response_framing(method, head.status, &head.headers)?;
         if framing == Framing::UntilClose {
             return Ok((head, verdict));
@@ -129,7 +129,7 @@
     }
 }
 
-/// Idle time after which the server closes the connection, where it says.
+/// Idle time after which the server closes the connection, if it states one.
 pub(crate) fn stated_idle(headers: &HeaderMap) -> Option<Micros> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
@@ -141,7 +141,7 @@
     connection_has(headers, "close")
 }
 
-/// The start of a body, whole where it is not too large.
+/// Reads the whole body, or its beginning if it exceeds [`BUFFER_LIMIT`].
 pub(crate) async fn read_start(
     connection: &mut Connection,
     body: &mut BodyState,
@@ -150,13 +150,13 @@
     if body.is_complete() {
         return Ok(first);
     }
-    // Room for all of it at once, where its length is known: a buffer that grows is copied several
-    // times and ends up to twice as large.
-    let room = first.len().saturating_add(body.expected()).min(BUFFERED);
+    // Allocates once if the length is known: a growing buffer is copied several times and ends up
+    // to twice as large.
+    let room = first.len().saturating_add(body.expected()).min(BUFFER_LIMIT);
     let mut start = BytesMut::with_capacity(room);
     start.extend_from_slice(&first);
     drop(first);
-    while start.len() < BUFFERED {
+    while start.len() < BUFFER_LIMIT {
         match connection.read_body(body).await? {
             Some(piece) => start.extend_from_slice(&piece),
             None => break,
@@ -165,8 +165,8 @@
     Ok(start.freeze())
 }
 
-/// Leaves the headers that pass to the caller.
-pub(crate) fn passed_on(names: &HeaderNames, mut headers: HeaderMap) -> HeaderMap {
+/// Removes the headers that are not forwarded to the caller.
+pub(crate) fn caller_headers(names: &HeaderNames, mut headers: HeaderMap) -> HeaderMap {
     strip_hop_by_hop(&mut headers);
     headers.remove(&names.load);
     headers
--- a/crates/galenapath-gateway/src/said.rs
+++ b/crates/galenapath-gateway/src/said.rs
@@ -1,5 +1,5 @@
-//! What a backend server says of itself in an answer, beside its load: that it leaves, for how long it wants
-//! nothing, and how many requests a second it takes.
+//! Server state reported in a backend server's answers, apart from its load: whether it is leaving,
+//! for how long it pauses requests, and its rate limit.
 
 use crate::fleet::Notices;
 use crate::instance::Instance;
@@ -13,99 +13,107 @@
 use http::header::{HeaderName, RETRY_AFTER};
 use std::time::Duration;
 
-/// What a server says that does not leave, where it says anything.
+/// Value of the leaving header while the server is not leaving.
 const NOT_LEAVING: &str = "0";
 
-/// What an answer is to, and how. Only one with success shows by what it leaves out that the server no longer
-/// says it: refusals and failures may be written by another part of the server.
+/// What an answer responds to, and with which result. Only in the successful answer to a request
+/// does a missing header mean that the server no longer states its value: rejections and errors may
+/// be written by another component of the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Answered {
-    /// A request, with success.
-    Request,
-    /// A request, in any other way.
+pub(crate) enum AnswerKind {
+    /// A successful answer to a request.
+    RequestSucceeded,
+    /// Any other answer to a request.
     RequestFailed,
-    /// A question.
-    Question,
+    /// An answer to a load query.
+    LoadQuery,
 }
 
-impl Answered {
+impl AnswerKind {
     const fn as_str(self) -> &'static str {
         match self {
-            Self::Request | Self::RequestFailed => "request",
-            Self::Question => "question",
+            Self::RequestSucceeded | Self::RequestFailed => "request",
+            Self::LoadQuery => "question",
         }
     }
 }
 
 /// The head of an answer of the server `id`.
-pub(crate) struct Answer<'a> {
+pub(crate) struct ServerAnswer<'a> {
     pub(crate) instance: &'a Instance,
     pub(crate) service: &'a Service,
     pub(crate) id: &'a BackendId,
     pub(crate) head: &'a ResponseHead,
-    pub(crate) answered: Answered,
-    /// When that was sent which it answers.
+    pub(crate) kind: AnswerKind,
+    /// When the answered request or load query was sent.
     pub(crate) sent_at: Micros,
 }
 
-impl Answer<'_> {
-    /// Takes note of what the server says, and tells the other instances what is news to them as well.
-    pub(crate) fn note(&self) {
-        self.note_leaving();
-        self.note_pause();
-        self.note_rate_limit();
+impl ServerAnswer<'_> {
+    /// Applies the reported state and broadcasts updates that concern the other instances.
+    pub(crate) fn apply(&self) {
+        self.apply_leaving();
+        self.apply_pause();
+        self.apply_rate_limit();
     }
 
-    fn note_leaving(&self) {
+    fn apply_leaving(&self) {
         let instance = self.instance;
-        let told = self.head.headers.get(&instance.names.leaving);
-        let is_leaving = told.is_some_and(|told| told != NOT_LEAVING);
-        if is_leaving && instance.hear_leaving(self.service, self.id, self.answered.as_str()) {
+        let value = self.head.headers.get(&instance.names.leaving);
+        let is_leaving = value.is_some_and(|value| value != NOT_LEAVING);
+        if is_leaving && instance.apply_leaving(self.service, self.id, self.kind.as_str()) {
             instance.state.borrow_mut().leaving.heard(instance.now(), self.id);
-            instance.tell(&Notices { leaving: vec![self.id.hash()], ..Notices::default() });
+            instance.broadcast_notices(&Notices {
+                leaving: vec![self.id.hash()],
+                ..Notices::default()
+            });
         }
     }
 
-    /// A server that turns something away says for how long it wants nothing from this instance alone.
-    fn note_pause(&self) {
+    /// A server that rejects a request may state for how long it pauses. The pause applies to this
+    /// instance only.
+    fn apply_pause(&self) {
         if self.head.status != StatusCode::SERVICE_UNAVAILABLE {
             return;
         }
         let Some(span) = pause(self.head) else { return };
         let (instance, id) = (self.instance, self.id);
-        let is_news = self.service.placement.borrow_mut().pause(instance.now(), id, span);
-        if is_news && instance.may_log(LineKind::Peer) {
-            let (for_ms, told_by) = (span.0 / 1_000, self.answered.as_str());
-            log::info!(server:% = id, for_ms, told_by; "server wants nothing");
+        let is_update = self.service.placement.borrow_mut().pause(instance.now(), id, span);
+        if is_update && instance.may_log(LineKind::Peer) {
+            let (for_ms, told_by) = (span.0 / 1_000, self.kind.as_str());
+            log::info!(server:% = id, for_ms, told_by; "server paused");
         }
     }
 
-    fn note_rate_limit(&self) {
+    fn apply_rate_limit(&self) {
         let instance = self.instance;
         let name = &instance.names.rate_limit;
         let per_second = rate_limit(name, self.head);
-        let said_at = match (per_second, self.answered) {
+        let said_at = match (per_second, self.kind) {
             (Some(_), _) => instance.now(),
-            // Written after the request came: a limit that was named since then holds.
-            (None, Answered::Request) if !self.head.headers.contains_key(name) => self.sent_at,
+            // The server may have stated a limit since the request was sent; that one stays in
+            // force.
+            (None, AnswerKind::RequestSucceeded) if !self.head.headers.contains_key(name) => {
+                self.sent_at
+            }
             (None, _) => return,
         };
-        let word = RateLimit { per_second, said_at };
-        if instance.hear_limit(self.service, self.id, word, self.answered.as_str()) {
-            let limits = vec![limit_note(instance.now(), self.id, word)];
-            instance.tell(&Notices { limits, ..Notices::default() });
+        let limit = RateLimit { per_second, said_at };
+        if instance.apply_rate_limit(self.service, self.id, limit, self.kind.as_str()) {
+            let limits = vec![limit_note(instance.now(), self.id, limit)];
+            instance.broadcast_notices(&Notices { limits, ..Notices::default() });
         }
     }
 }
 
-/// Time for which the server wants nothing, where it says so.
+/// Time for which the server pauses requests, if it states one.
 fn pause(head: &ResponseHead) -> Option<Micros> {
     let text = head.headers.get(RETRY_AFTER)?.to_str().ok()?;
     let seconds: f64 = text.trim().parse().ok()?;
     Duration::try_from_secs_f64(seconds).ok().map(Micros::from)
 }
 
-/// Requests a second that the server takes from all instances together, where it names them.
+/// The server's rate limit in requests per second from all instances together, if it states one.
 fn rate_limit(name: &HeaderName, head: &ResponseHead) -> Option<f64> {
     let text = head.headers.get(name)?.to_str().ok()?;
     let per_second: f64 = text.trim().parse().ok()?;
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -1,8 +1,8 @@
-//! One service: its backend servers, the decisions about them and who waits for them.
+//! A service: its backend servers, their placement state, and the requests waiting for them.
 
 use crate::instance::Instance;
-use crate::loss::Losses;
-use crate::pool::{Kept, Pools};
+use crate::loss::LossWatchers;
+use crate::pool::{PooledConnection, Pools};
 use crate::waiting::Waiter;
 use galenapath_http::Connection;
 use galenapath_policy::measure::{AskBudget, AskShares};
@@ -19,43 +19,45 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of the allowed probes that requests may use; the rest is for the regular ones.
-const PROBE_PART: f64 = 0.8;
+/// Share of the probe budget for the load queries of requests; the rest is for regular probes.
+const QUERY_SHARE: f64 = 0.8;
 
-/// Time for which a service counts as one that tells no load after one of its servers told none.
-const NO_LOAD_FOR: Micros = Micros::from_secs(10);
+/// Time for which a service counts as not reporting load after one of its servers reported none.
+const NO_LOAD_PERIOD: Micros = Micros::from_secs(10);
 
-/// Time without requests after which a service takes in a changed list only when the next one comes.
+/// Time without requests after which a service applies a changed server list only at its next
+/// request.
 const IDLE_AFTER: Micros = Micros::from_secs(1);
 
-/// Part of the shared retry allowance of an instance that does not know yet what others serve.
-const UNKNOWN_RETRY_PART: f64 = 1.0 / 16.0;
+/// Share of the retry budget of an instance that does not know the load of the others yet.
+const INITIAL_RETRY_SHARE: f64 = 1.0 / 16.0;
 
-/// Largest part of it for one instance: another one that has just started may not be known yet.
-const MOST_RETRY_PART: f64 = 0.5;
+/// Largest share of the retry budget for one instance, because another instance that has just
+/// started may not be known yet.
+const MAX_RETRY_SHARE: f64 = 0.5;
 
-/// Time after its start for which an instance does not know what others serve.
-const RETRY_PART_UNKNOWN_FOR: Micros = Micros::from_secs(3);
+/// Time after its start during which an instance does not know the load of the others.
+const RETRY_SHARE_SETTLING_TIME: Micros = Micros::from_secs(3);
 
-/// A server of the list.
-struct Listed {
+/// A server in the server list.
+struct ListedServer {
     record: Arc<ServerRecord>,
-    /// Whether it is in the own failure domain.
+    /// Whether it is in this instance's failure domain.
     is_home: bool,
-    /// Whether its failure domain is evacuated, so that it gets nothing.
+    /// Whether its failure domain is evacuated, so that it gets no requests.
     is_withdrawn: bool,
-    /// This instance's part of the probes to it.
-    probes: AskBudget,
+    /// This instance's share of the budget for load queries to the server.
+    queries: AskBudget,
 }
 
-/// Where a server is.
+/// Address and failure domain of a server.
 pub(crate) struct ServerAt {
     pub(crate) id: BackendId,
     pub(crate) address: SocketAddr,
     pub(crate) domain: DomainId,
 }
 
-/// One service.
+/// A service and the state of its backend servers.
 pub(crate) struct Service {
     pub(crate) name: String,
     pub(crate) spec: RefCell<ServiceSpec>,
@@ -63,24 +65,25 @@
     pub(crate) retries: RefCell<RetryBudget>,
     /// Idle connections to the servers.
     pools: Pools,
-    /// Requests that wait to hear that their server is out of reach.
-    losses: Losses,
-    /// By the identities of their runs, as everything else here: a server that starts again is another one.
-    listed: RefCell<FastMap<BackendId, Listed>>,
-    /// The servers by the short form of their identities.
+    /// Requests to be notified when their server is found unreachable.
+    loss_watchers: LossWatchers,
+    /// Keyed by process run, like all state here: a restarted server counts as another server.
+    listed: RefCell<FastMap<BackendId, ListedServer>>,
+    /// Servers by the short form of their identities.
     by_short_id: RefCell<FastMap<u32, BackendId>>,
-    /// Requests that wait for a server.
-    pub(crate) line: RefCell<Line>,
-    /// Invariant: holds the tickets in `line` whose tasks wait.
+    /// Requests waiting for a server.
+    pub(crate) queue: RefCell<Line>,
+    /// Invariant: holds the request numbers in `queue` whose tasks wait.
     pub(crate) waiters: RefCell<FastMap<u64, Waiter>>,
-    /// Probes a second to one server that the requests of all instances may use.
-    probe_rate: Cell<f64>,
-    /// Until when no server is asked, because one told no load.
+    /// Load queries per second to one server allowed to the requests of all instances together.
+    query_rate: Cell<f64>,
+    /// Until when no server is queried, because one reported no load.
     no_load_until: Cell<Micros>,
+    /// Generation of the instance's state that `listed` was built from.
     generation: Cell<u64>,
-    /// When a request last asked for a server.
+    /// When a request last needed a server.
     used_at: Cell<Micros>,
-    /// This instance's part of the probes, as far as `listed` has taken it over.
+    /// This instance's shares of the query budget, as applied to `listed`.
     shares: Cell<Option<AskShares>>,
 }
 
@@ -95,15 +98,15 @@
             placement: RefCell::new(placement),
             retries: RefCell::new(RetryBudget::new(retry_config(
                 &instance.settings().retries,
-                UNKNOWN_RETRY_PART,
+                INITIAL_RETRY_SHARE,
             ))),
             pools: Pools::default(),
-            losses: Losses::default(),
+            loss_watchers: LossWatchers::default(),
             listed: RefCell::default(),
             by_short_id: RefCell::default(),
-            line: RefCell::new(Line::new(WaitQueue::new(QueueConfig::default()))),
+            queue: RefCell::new(Line::new(WaitQueue::new(QueueConfig::default()))),
             waiters: RefCell::default(),
-            probe_rate: Cell::new(instance.settings().probes_per_second * PROBE_PART),
+            query_rate: Cell::new(instance.settings().probes_per_second * QUERY_SHARE),
             no_load_until: Cell::default(),
             generation: Cell::new(u64::MAX),
             used_at: Cell::default(),
@@ -111,32 +114,32 @@
         })
     }
 
-    /// Takes over what a changed configuration says of the service.
+    /// Applies a changed configuration of the service.
     pub(crate) fn set_spec(&self, spec: &ServiceSpec) {
         *self.spec.borrow_mut() = spec.clone();
         self.placement.borrow_mut().set_warm_up(warm_up(spec));
     }
 
-    /// Takes changed settings over.
+    /// Applies changed settings.
     pub(crate) fn take_settings(&self, instance: &Instance) {
-        self.probe_rate.set(instance.settings().probes_per_second * PROBE_PART);
+        self.query_rate.set(instance.settings().probes_per_second * QUERY_SHARE);
         self.shares.set(None);
         self.share_retries(instance);
     }
 
-    /// Whether nobody has wanted a server lately. Most instances of a large fleet serve a stray request now
-    /// and then; they take in a changed list when the next one comes.
+    /// Whether no request has needed a server for [`IDLE_AFTER`]. Most instances of a large fleet
+    /// get only stray requests; they apply a changed server list when the next one arrives.
     pub(crate) fn is_idle(&self, now: Micros) -> bool {
         now - self.used_at.get() > IDLE_AFTER && self.waiters.borrow().is_empty()
     }
 
-    /// Brings what is known of the servers up to date for a request.
+    /// Marks the service as in use and applies a changed server list, before a server is selected.
     pub(crate) fn prepare(&self, instance: &Instance) {
         self.used_at.set(instance.now());
         self.refresh(instance);
     }
 
-    /// Takes in the list of servers where it has changed.
+    /// Applies the server list if it has changed.
     pub(crate) fn refresh(&self, instance: &Instance) {
         let state = instance.state.borrow();
         let directory = state.directory();
@@ -164,41 +167,46 @@
                 is_withdrawn,
                 cold_for: if has_turned_cold { record.cold_for.into() } else { Micros::ZERO },
             });
-            let probes = before.map_or_else(
-                || AskBudget::new(now, self.probe_part(shares, is_home)),
-                |server| server.probes,
+            let queries = before.map_or_else(
+                || AskBudget::new(now, self.query_share_rate(shares, is_home)),
+                |server| server.queries,
             );
             let record = Arc::clone(record);
-            listed.insert(run, Listed { record, is_home, is_withdrawn, probes });
+            listed.insert(run, ListedServer { record, is_home, is_withdrawn, queries });
         }
-        // Connections to a domain that is evacuated would be closed by its servers, or be old at its return.
+        // Connections to an evacuated domain would be closed by its servers, or be stale by the
+        // time the domain is used again.
         self.pools.retain(|id| listed.get(id).is_some_and(|server| !server.is_withdrawn));
-        self.losses.retain(|id| listed.contains_key(id));
+        self.loss_watchers.retain(|id| listed.contains_key(id));
         *self.by_short_id.borrow_mut() = listed.keys().map(|id| (id.short(), id.clone())).collect();
         *self.listed.borrow_mut() = listed;
         self.placement.borrow_mut().set_servers(now, &list);
     }
 
-    /// A server answers no probe.
+    /// Marks a server that answers no probes as unreachable and notifies its requests.
     pub(crate) fn lost(&self, now: Micros, id: &BackendId) {
         self.placement.borrow_mut().not_reached(now, id);
-        self.losses.tell(id);
+        self.loss_watchers.notify(id);
     }
 
-    /// Waits for `span`, or until a server is found out of reach; returns whether it was.
-    pub(crate) async fn lost_within(&self, id: &BackendId, span: Micros) -> bool {
-        matches!(monoio::time::timeout(span.into(), self.losses.of(id)).await, Ok(Ok(())))
+    /// Waits for `span`, or until the server is found unreachable; returns whether it was.
+    pub(crate) async fn wait_for_loss(&self, id: &BackendId, span: Micros) -> bool {
+        matches!(monoio::time::timeout(span.into(), self.loss_watchers.watch(id)).await, Ok(Ok(())))
     }
 
-    /// Takes a kept connection to a server.
-    pub(crate) async fn take_connection(&self, now: Micros, id: &BackendId) -> Option<Kept> {
+    /// Takes an idle connection to a server out of the pool.
+    pub(crate) async fn take_connection(
+        &self,
+        now: Micros,
+        id: &BackendId,
+    ) -> Option<PooledConnection> {
         let kept = self.pools.take(now, id).await;
         self.placement.borrow_mut().set_connected(id, self.pools.has(id));
         kept
     }
 
-    /// Keeps a connection whose last answer was read to its end. `stated` is the idle time after which the
-    /// server closes it.
+    /// Keeps a connection whose last answer was read completely. `stated` is the idle time after
+    /// which the server closes it.
     pub(crate) fn keep_connection(
         &self,
         now: Micros,
@@ -216,38 +224,38 @@
         self.pools.prune(now).iter().for_each(|id| placement.set_connected(id, false));
     }
 
-    /// Where a server listens; `None` once it is gone.
+    /// Address of a server; `None` once it is no longer listed.
     pub(crate) fn address(&self, id: &BackendId) -> Option<SocketAddr> {
         self.listed.borrow().get(id).map(|server| server.record.address)
     }
 
-    /// Identity under which the platform lists a run of a server, by which the server itself goes; `None`
-    /// once it is gone.
+    /// Identity under which the platform lists the server of a process run, which is also the
+    /// identity that the server states; `None` once it is no longer listed.
     pub(crate) fn listed_id(&self, run: &BackendId) -> Option<BackendId> {
         self.listed.borrow().get(run).map(|server| server.record.id.clone())
     }
 
-    /// Whether a server is in the own failure domain; false once it is gone.
+    /// Whether a server is in this instance's failure domain; false once it is no longer listed.
     pub(crate) fn is_home(&self, id: &BackendId) -> bool {
         self.listed.borrow().get(id).is_some_and(|server| server.is_home)
     }
 
-    /// The failure domain of a server; `None` once it is gone.
+    /// The failure domain of a server; `None` once it is no longer listed.
     pub(crate) fn domain(&self, id: &BackendId) -> Option<DomainId> {
         self.listed.borrow().get(id).map(|server| server.record.domain.clone())
     }
 
-    /// The server with a short identity.
+    /// The server with the short identity `short`.
     pub(crate) fn by_short_id(&self, short: u32) -> Option<BackendId> {
         self.by_short_id.borrow().get(&short).cloned()
     }
 
-    /// The server whose identity has this hash.
+    /// The server whose identity has the hash `hash`.
     pub(crate) fn by_hash(&self, hash: u64) -> Option<BackendId> {
         self.by_short_id(hash as u32).filter(|id| id.hash() == hash)
     }
 
-    /// The servers that may get requests as far as their failure domains go.
+    /// The servers whose failure domains are not evacuated.
     pub(crate) fn servers(&self) -> Vec<ServerAt> {
         let listed = self.listed.borrow();
         let in_use = listed.iter().filter(|(_, server)| !server.is_withdrawn);
@@ -259,83 +267,83 @@
         all.collect()
     }
 
-    /// Whether a request that was given to a server as `started` says may still be sent there.
-    pub(crate) fn may_send(&self, instance: &Instance, id: &BackendId, started: Started) -> bool {
+    /// Whether a request that was assigned to a server in the state `snapshot` may still be sent
+    /// there.
+    pub(crate) fn may_send(&self, instance: &Instance, id: &BackendId, snapshot: Started) -> bool {
         self.refresh(instance);
-        self.placement.borrow().may_send(instance.now(), id, started)
+        self.placement.borrow().may_send(instance.now(), id, snapshot)
     }
 
-    /// Counts one more send to a server of a request that was sent there before; false where the server
-    /// cannot take it.
-    pub(crate) fn send_again(&self, instance: &Instance, id: &BackendId) -> bool {
+    /// Counts another send of the same request to a server; false if the server cannot accept it.
+    pub(crate) fn try_count_resend(&self, instance: &Instance, id: &BackendId) -> bool {
         self.refresh(instance);
         self.placement.borrow_mut().send_again(instance.now(), id)
     }
 
-    /// Whether a server names a rate limit.
+    /// Whether a server states a rate limit.
     pub(crate) fn is_limited(&self, id: &BackendId) -> bool {
         self.placement.borrow().is_limited(id)
     }
 
-    /// Takes in what was seen of a server; returns whether it was news.
-    pub(crate) fn see(&self, instance: &Instance, id: &BackendId, sighting: Sighting) -> bool {
-        let is_news = self.placement.borrow_mut().see(id, sighting);
-        if is_news {
+    /// Applies a load observation; returns whether it was an update.
+    pub(crate) fn see(&self, instance: &Instance, id: &BackendId, observation: Sighting) -> bool {
+        let is_update = self.placement.borrow_mut().see(id, observation);
+        if is_update {
             self.poll(instance);
         }
-        is_news
+        is_update
     }
 
-    /// Whether the servers are taken to tell their load when they are asked. One that does not would
-    /// let the question wait for a slot.
-    pub(crate) fn tells_load(&self, now: Micros) -> bool {
+    /// Whether the servers are assumed to report their load in answers to load queries. A server
+    /// that does not report it would keep the query waiting for a slot.
+    pub(crate) fn reports_load(&self, now: Micros) -> bool {
         now >= self.no_load_until.get()
     }
 
-    /// A server was asked and told no load.
-    pub(crate) fn told_no_load(&self, now: Micros) {
-        self.no_load_until.set(now + NO_LOAD_FOR);
+    /// Records that a server answered a load query without its load.
+    pub(crate) fn record_missing_load(&self, now: Micros) {
+        self.no_load_until.set(now + NO_LOAD_PERIOD);
     }
 
-    /// Takes over which part of the retries falls to this instance.
+    /// Updates this instance's share of the retry budget.
     pub(crate) fn share_retries(&self, instance: &Instance) {
-        let part = if instance.clock.age() < RETRY_PART_UNKNOWN_FOR {
-            UNKNOWN_RETRY_PART
+        let share = if instance.clock.age() < RETRY_SHARE_SETTLING_TIME {
+            INITIAL_RETRY_SHARE
         } else {
-            f64::from(instance.load_share()).min(MOST_RETRY_PART)
+            f64::from(instance.load_share()).min(MAX_RETRY_SHARE)
         };
-        let cfg = retry_config(&instance.settings().retries, part);
+        let cfg = retry_config(&instance.settings().retries, share);
         self.retries.borrow_mut().set_config(instance.now(), cfg);
     }
 
-    /// Takes over which part of the budget of probes falls to this instance.
+    /// Updates this instance's shares of the query budget.
     pub(crate) fn share_probes(&self, now: Micros, shares: AskShares) {
         if self.shares.replace(Some(shares)) == Some(shares) {
             return;
         }
         for server in self.listed.borrow_mut().values_mut() {
-            server.probes.set_rate(now, self.probe_part(shares, server.is_home));
+            server.queries.set_rate(now, self.query_share_rate(shares, server.is_home));
         }
     }
 
-    fn probe_part(&self, shares: AskShares, is_home: bool) -> f64 {
-        self.probe_rate.get() * if is_home { shares.home } else { shares.away }
+    fn query_share_rate(&self, shares: AskShares, is_home: bool) -> f64 {
+        self.query_rate.get() * if is_home { shares.home } else { shares.away }
     }
 
-    /// Takes a probe out of this instance's part of the budget of a server.
-    pub(crate) fn take_probe(&self, now: Micros, id: &BackendId) -> bool {
-        self.listed.borrow_mut().get_mut(id).is_some_and(|server| server.probes.take(now))
+    /// Takes a load query out of this instance's share of a server's budget, if any is left.
+    pub(crate) fn try_take_query(&self, now: Micros, id: &BackendId) -> bool {
+        self.listed.borrow_mut().get_mut(id).is_some_and(|server| server.queries.take(now))
     }
 }
 
-/// How the servers of a service warm up.
+/// The warm-up parameters of a service.
 fn warm_up(spec: &ServiceSpec) -> Option<WarmUp> {
     let warm_up = spec.warm_up?;
     Some(WarmUp { lasts: warm_up.lasts.into(), per_second: warm_up.per_second })
 }
 
-/// The retries that an instance may send which serves `part` of all requests.
-fn retry_config(allowance: &RetryAllowance, part: f64) -> RetryConfig {
+/// The retry budget of an instance that serves `share` of all requests.
+fn retry_config(allowance: &RetryAllowance, share: f64) -> RetryConfig {
     let RetryAllowance { ratio, slack, window } = *allowance;
-    SharedAllowance { ratio, slack, window: window.into() }.part(part)
+    SharedAllowance { ratio, slack, window: window.into() }.part(share)
 }
--- a/crates/galenapath-gateway/src/services.rs
+++ b/crates/galenapath-gateway/src/services.rs
@@ -1,4 +1,4 @@
-//! The services of the configuration in force.
+//! The services of the current configuration.
 
 use crate::instance::Instance;
 use crate::probe;
@@ -7,36 +7,36 @@
 use galenapath_routes::RouteTable;
 use std::rc::Rc;
 
-/// Time for which a service is remembered that a configuration leaves out: what its servers have asked for holds
-/// on where a later one names it again.
-const REMEMBERED_FOR: Micros = Micros::from_secs(60);
+/// Time for which a service removed from the configuration is kept, so that the pauses and limits
+/// stated by its servers stay in force if a later configuration adds it again.
+const REMOVED_SERVICE_RETENTION: Micros = Micros::from_secs(60);
 
-/// The services of the configuration in force, by name, and those that one before had.
+/// The services of the current configuration by name, and recently removed ones.
 #[derive(Default)]
 pub(crate) struct Services {
-    named: FastMap<String, Rc<Service>>,
-    /// Those that are left out, and since when.
-    left_out: FastMap<String, (Micros, Rc<Service>)>,
+    configured: FastMap<String, Rc<Service>>,
+    /// Removed services and the time of their removal.
+    removed: FastMap<String, (Micros, Rc<Service>)>,
 }
 
 impl Services {
-    /// The services of the configuration in force.
+    /// The services of the current configuration.
     pub(crate) fn values(&self) -> impl Iterator<Item = &Rc<Service>> {
-        self.named.values()
+        self.configured.values()
     }
 
-    /// Takes over the services that `table` names.
-    fn take_table(&mut self, instance: &Instance, table: &RouteTable) {
+    /// Applies the services of a changed configuration.
+    fn apply_table(&mut self, instance: &Instance, table: &RouteTable) {
         let now = instance.now();
-        self.left_out.retain(|_, (since, _)| now - *since < REMEMBERED_FOR);
-        let gone = self.named.extract_if(|name, _| table.service(name).is_none());
-        self.left_out.extend(gone.map(|(name, service)| (name, (now, service))));
+        self.removed.retain(|_, (since, _)| now - *since < REMOVED_SERVICE_RETENTION);
+        let removed = self.configured.extract_if(|name, _| table.service(name).is_none());
+        self.removed.extend(removed.map(|(name, service)| (name, (now, service))));
         for (name, spec) in table.services() {
-            if let Some(service) = self.named.get(name) {
+            if let Some(service) = self.configured.get(name) {
                 service.set_spec(spec);
                 continue;
             }
-            let service = match self.left_out.remove(name) {
+            let service = match self.removed.remove(name) {
                 Some((_, service)) => {
                     service.set_spec(spec);
                     service.take_settings(instance);
@@ -44,26 +44,26 @@
                 }
                 None => Service::new(name, spec.clone(), instance),
             };
-            self.named.insert(name.to_owned(), service);
+            self.configured.insert(name.to_owned(), service);
         }
     }
 }
 
 impl Instance {
-    /// A service of the configuration.
+    /// Returns a service of the current configuration.
     pub(crate) fn service(&self, name: &str) -> Option<Rc<Service>> {
-        self.services.borrow().named.get(name).cloned()
+        self.services.borrow().configured.get(name).cloned()
     }
 
-    /// Takes in a changed configuration or list of servers.
+    /// Applies a changed configuration or server list.
     pub(crate) fn refresh_services(&self) {
         let table = Rc::clone(self.state.borrow().table());
-        self.services.borrow_mut().take_table(self, &table);
+        self.services.borrow_mut().apply_table(self, &table);
         let all: Vec<Rc<Service>> = self.services.borrow().values().cloned().collect();
         let now = self.now();
         let in_use = || all.iter().filter(|service| !service.is_idle(now));
         in_use().for_each(|service| service.refresh(self));
-        // Servers that have come back cold get their first requests at once.
+        // Servers that have become cold again get their first requests at once.
         probe::share_scarce(self);
         in_use().for_each(|service| service.poll(self));
         let state = self.state.borrow();
--- a/crates/galenapath-gateway/src/start.rs
+++ b/crates/galenapath-gateway/src/start.rs
@@ -1,31 +1,33 @@
-//! Requests that come while an instance starts.
+//! Delays requests that arrive while an instance starts.
 //!
-//! Load pattern: all instances are lost at the same moment and start together. Callers whose connections
-//! broke come again at once, most of them with their last try, in the tenth of a second in which an
-//! instance listens already and does not know configuration and servers yet. Refused, they are lost;
-//! what is missing comes within two tenths of a second from the store or another instance.
+//! Load pattern: all instances fail at the same moment and start again together. Callers whose
+//! connections broke reconnect at once, most of them with their last attempt, in the 0.1 s in which
+//! an instance already listens but does not know the configuration and servers yet. Rejected
+//! requests would be lost. The missing data arrives from the store or another instance within
+//! 0.2 s.
 
 use crate::instance::{Instance, sleep};
 use galenapath_protocol::Micros;
 
-/// Time after the start for which requests wait for what the instance lacks: an instance that knows
-/// nothing by then cannot reach anybody, and callers do better elsewhere.
-const KNOWN_WITHIN: Micros = Micros::from_secs(1);
+/// Time after the start during which requests wait for the configuration and servers. An instance
+/// without them by then reaches neither the store nor other instances, so that its callers are
+/// better served elsewhere.
+const STARTUP_PERIOD: Micros = Micros::from_secs(1);
 
-/// Part of its time, one in so many, that a request waits at the most: the rest is for its work.
-const PART: u64 = 4;
+/// A request waits for at most one part in this many of its caller timeout; the rest is left for
+/// its work.
+const MAX_WAIT_DIVISOR: u64 = 4;
 
-/// Time between two looks.
-const LOOK: Micros = Micros::from_millis(5);
+const POLL_INTERVAL: Micros = Micros::from_millis(5);
 
-/// Lets a request whose caller waits for `told` wait until the instance knows enough to serve it, if that
-/// may be soon.
-pub(crate) async fn wait_until_known(instance: &Instance, told: Micros) {
-    let most = instance.now() + Micros(told.0 / PART);
+/// Waits until the instance knows the configuration and servers, for a limited part of
+/// `caller_timeout` and only shortly after the start.
+pub(crate) async fn wait_until_known(instance: &Instance, caller_timeout: Micros) {
+    let latest = instance.now() + Micros(caller_timeout.0 / MAX_WAIT_DIVISOR);
     while !instance.state.borrow().is_known()
-        && instance.clock.age() < KNOWN_WITHIN
-        && instance.now() < most
+        && instance.clock.age() < STARTUP_PERIOD
+        && instance.now() < latest
     {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/galenapath-gateway/src/waiting.rs
+++ b/crates/galenapath-gateway/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Giving requests a server, or letting them wait for one.
+//! Assigns requests to servers, and queues those that have to wait for one.
 
 use crate::in_flight::InFlight;
 use crate::instance::Instance;
@@ -8,27 +8,27 @@
 use galenapath_protocol::{BackendId, Micros};
 use std::rc::Rc;
 
-/// Longest sleep of a waiting request between two looks at the queue.
-const LOOK_AGAIN: Micros = Micros::from_millis(10);
+/// Period at which a waiting request polls the queue.
+const POLL_INTERVAL: Micros = Micros::from_millis(10);
 
-/// Tells a request that waits what comes of it.
+/// Notifies a waiting request of its assignment or rejection.
 pub(crate) type Waiter = oneshot::Sender<Result<Given, Refusal>>;
 
-/// Why no server was given.
+/// Why a request got no server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum NoServer {
-    /// All are full and the wait would be too long.
-    Refused(Refusal),
-    /// None is left that could take the request.
-    Nowhere,
+    /// All servers are full and the wait would be too long.
+    Rejected(Refusal),
+    /// No server can accept the request.
+    Unavailable,
 }
 
 impl Service {
-    /// Finds a server for a request, which waits for one where it has to.
+    /// Assigns a request to a server, after a wait in the queue if necessary.
     ///
     /// # Errors
     ///
-    /// When the wait would be too long or there is no server.
+    /// If the wait would be too long or there is no server.
     pub(crate) async fn place(
         self: &Rc<Self>,
         instance: &Rc<Instance>,
@@ -37,19 +37,19 @@
         self.prepare(instance);
         let (now, ticket) = (instance.now(), wanted.entry.ticket);
         let placed = {
-            let (mut line, mut placement) = (self.line.borrow_mut(), self.placement.borrow_mut());
-            line.place(now, &mut placement, wanted, instance.load_share())
+            let (mut queue, mut placement) = (self.queue.borrow_mut(), self.placement.borrow_mut());
+            queue.place(now, &mut placement, wanted, instance.load_share())
         };
         match placed {
-            Placed::At(given) => Ok(InFlight::started(self, instance, given)),
+            Placed::At(assignment) => Ok(InFlight::assigned(self, instance, assignment)),
             Placed::Waits => self.wait(instance, ticket).await,
-            Placed::Refused(refusal) => Err(NoServer::Refused(refusal)),
-            Placed::Nowhere => Err(NoServer::Nowhere),
+            Placed::Refused(rejection) => Err(NoServer::Rejected(rejection)),
+            Placed::Nowhere => Err(NoServer::Unavailable),
         }
     }
 
-    /// A server that a second copy goes to at once, if there is a good one.
-    pub(crate) fn place_copy(
+    /// Assigns a hedge to a server without waiting, if there is a good one.
+    pub(crate) fn place_hedge(
         self: &Rc<Self>,
         instance: &Rc<Instance>,
         tried: &[BackendId],
@@ -76,50 +76,52 @@
         let (tx, rx) = oneshot::channel();
         self.waiters.borrow_mut().insert(ticket, tx);
         instance.metrics.waiting.inc();
-        let mut waiting = Waiting { service: self, instance, ticket, rx };
+        let mut queued = QueuedRequest { service: self, instance, ticket, rx };
         loop {
-            match monoio::time::timeout(LOOK_AGAIN.into(), &mut waiting.rx).await {
-                Ok(Ok(Ok(given))) => return Ok(InFlight::started(self, instance, given)),
-                Ok(Ok(Err(refusal))) => return Err(NoServer::Refused(refusal)),
-                Ok(Err(_)) => return Err(NoServer::Nowhere),
+            match monoio::time::timeout(POLL_INTERVAL.into(), &mut queued.rx).await {
+                Ok(Ok(Ok(assignment))) => {
+                    return Ok(InFlight::assigned(self, instance, assignment));
+                }
+                Ok(Ok(Err(rejection))) => return Err(NoServer::Rejected(rejection)),
+                Ok(Err(_)) => return Err(NoServer::Unavailable),
                 Err(_) => self.poll(instance),
             }
         }
     }
 
-    /// Starts or refuses what waits, as far as it is time for that.
+    /// Assigns or rejects the waiting requests that are due.
     pub(crate) fn poll(&self, instance: &Instance) {
-        let moved = self.line.borrow_mut().poll(instance.now(), &mut self.placement.borrow_mut());
-        for Moved { ticket, result } in moved {
+        let due = self.queue.borrow_mut().poll(instance.now(), &mut self.placement.borrow_mut());
+        for Moved { ticket, result } in due {
             let waiter = self.waiters.borrow_mut().remove(&ticket);
-            let untold = waiter.map_or(Err(result.clone()), |tx| tx.send(result));
-            // The caller has gone at this very moment.
-            if let Err(Ok(given)) = untold {
-                self.placement.borrow_mut().finish(&given.server);
+            let sent = waiter.map_or(Err(result.clone()), |tx| tx.send(result));
+            // The request was cancelled before it could be notified.
+            if let Err(Ok(assignment)) = sent {
+                self.placement.borrow_mut().finish(&assignment.server);
             }
         }
     }
 }
 
-/// A request in the queue. Dropping it takes the request out, also where a server was given to it
-/// and nobody has taken note of that yet.
-struct Waiting<'a> {
+/// A request in the queue. Dropping it removes the request, and releases its server if it was
+/// assigned one but its task has not received the assignment yet.
+struct QueuedRequest<'a> {
     service: &'a Rc<Service>,
     instance: &'a Rc<Instance>,
     ticket: u64,
     rx: oneshot::Receiver<Result<Given, Refusal>>,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
         self.instance.metrics.waiting.dec();
-        self.service.line.borrow_mut().remove(self.ticket);
+        self.service.queue.borrow_mut().remove(self.ticket);
         let was_waiting = self.service.waiters.borrow_mut().remove(&self.ticket).is_some();
         if was_waiting {
             return;
         }
-        if let Ok(Some(Ok(given))) = self.rx.try_recv() {
-            self.service.placement.borrow_mut().finish(&given.server);
+        if let Ok(Some(Ok(assignment))) = self.rx.try_recv() {
+            self.service.placement.borrow_mut().finish(&assignment.server);
         }
     }
 }
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -10,9 +10,8 @@
 /// Sends lookups until some instance has heard that the server leaves, and waits for what is on its way.
 fn leave(gateways: &[Gateway], server: &ServerStandIn) {
     server.set_leaving(true);
-    let is_heard = |gateway: &Gateway| {
-        gateway.log().iter().any(|line| line["event"] == "server says that it leaves")
-    };
+    let is_heard =
+        |gateway: &Gateway| gateway.log().iter().any(|line| line["event"] == "server is leaving");
     wait_until("word that a server leaves", || {
         press(gateways, Duration::from_millis(50));
         gateways.iter().any(is_heard)
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -118,7 +118,7 @@
     let lines = |is_limited: bool| {
         let log = gateways[0].log();
         let is_it = |line: &&serde_json::Value| line["is_limited"] == is_limited;
-        log.iter().filter(|line| line["event"] == "rate limit of a server").filter(is_it).count()
+        log.iter().filter(|line| line["event"] == "server rate limit changed").filter(is_it).count()
     };
     wait_until("word of a limit", || {
         press(&gateways, Duration::from_millis(100));
--- a/tests/gateway/pauses.rs
+++ b/tests/gateway/pauses.rs
@@ -22,7 +22,7 @@
         let paused = world.of("look")[0];
         paused.set_pause(Some(PAUSE));
         paused.set_trouble(trouble);
-        let noted = || gateways[0].log().iter().any(|l| l["event"] == "server wants nothing");
+        let noted = || gateways[0].log().iter().any(|l| l["event"] == "server paused");
         let answered = press(&gateways, Duration::from_millis(300));
         assert!(answered > 0);
         paused.set_trouble(ServerTrouble::None);
--- a/tests/gateway/warming.rs
+++ b/tests/gateway/warming.rs
@@ -26,7 +26,7 @@
     assert!(answered > 0);
     assert_spared(&look);
     let heard =
-        || gateways.iter().any(|g| g.log().iter().any(|l| l["event"] == "server cold or warm"));
+        || gateways.iter().any(|g| g.log().iter().any(|l| l["event"] == "server warm-up changed"));
     assert!(heard());
     // And as much as any other once it is warm.
     let before = look[0].seen().len();
