--- a/crates/galenapath-gateway/src/attempt.rs
+++ b/crates/galenapath-gateway/src/attempt.rs
@@ -4,11 +4,11 @@
 use crate::crash;
 use crate::exchange::take_retry;
 use crate::fitness;
-use crate::health;
 use crate::in_flight::InFlight;
+use crate::load_query;
 use crate::reply::{self, HeadVerdict, RemainingBody, Reply};
 use crate::request::set_header;
-use crate::said::{AnswerKind, ServerAnswer};
+use crate::server_answer::{AnswerKind, ServerAnswer};
 use crate::usage::Flow;
 use galenapath_http::{
     BodyState, Connection, Framing, HttpError, ResponseHead, put_request, response_framing,
@@ -136,7 +136,7 @@
     };
     let (head, verdict) = head.map_err(|e| attempt_error(&e))?;
     if let Some(kind) = answer_kind(verdict, head.status) {
-        in_flight.answer_load.set(health::apply_answer_load(
+        in_flight.answer_load.set(load_query::apply_answer_load(
             &call.instance,
             service,
             server,
--- a/crates/galenapath-gateway/src/caller.rs
+++ b/crates/galenapath-gateway/src/caller.rs
@@ -6,7 +6,7 @@
 use crate::instance::{Instance, Stage};
 use crate::relay;
 use crate::request::{self, Request};
-use crate::start;
+use crate::startup;
 use bytes::{Bytes, BytesMut};
 use futures::future::{Either, select};
 use galenapath_filings::Fingerprint;
@@ -159,7 +159,7 @@
     let id = head.headers.get(&instance.names.request_id).cloned();
     let caller_timeout =
         request::caller_timeout(&instance.names, &head.headers).unwrap_or(DEFAULT_CALLER_TIMEOUT);
-    start::wait_until_known(instance, caller_timeout).await;
+    startup::wait_until_known(instance, caller_timeout).await;
     let route = match find_route(instance, &head) {
         Ok(route) => route,
         Err(answer) => {
--- a/crates/galenapath-gateway/src/crash.rs
+++ b/crates/galenapath-gateway/src/crash.rs
@@ -7,8 +7,8 @@
 
 use crate::call::Call;
 use crate::fleet::CrashNote;
-use crate::health;
 use crate::instance::Instance;
+use crate::load_query;
 use crate::service::Service;
 use galenapath_filings::{Fingerprint, SuspectVerdict};
 use galenapath_http::Connection;
@@ -76,8 +76,8 @@
     }
     let probe = async {
         let io = TcpStream::connect_addr(address).await.ok()?;
-        let connection = Connection::new(io, health::HEAD_LIMIT);
-        let health = health::ask(instance, service, server, connection).await.ok()?;
+        let connection = Connection::new(io, load_query::HEAD_LIMIT);
+        let health = load_query::ask(instance, service, server, connection).await.ok()?;
         Some(!health.is_other)
     };
     monoio::time::timeout(PROBE_TIMEOUT, probe).await.is_ok_and(|alive| alive == Some(true))
--- a/crates/galenapath-gateway/src/fitness.rs
+++ b/crates/galenapath-gateway/src/fitness.rs
@@ -8,9 +8,9 @@
 
 use crate::attempt::{AttemptError, HEAD_LIMIT, connect};
 use crate::call::Call;
-use crate::health::{self, Health};
 use crate::in_flight::InFlight;
 use crate::instance::Instance;
+use crate::load_query::{self, Health};
 use crate::service::Service;
 use futures::channel::oneshot;
 use galenapath_http::{Connection, HttpError};
@@ -152,14 +152,14 @@
 ) -> Result<Health, HttpError> {
     if let Some(kept) = kept {
         let sent_at = instance.now();
-        if let Ok(answer) = health::ask(instance, service, server, kept).await {
+        if let Ok(answer) = load_query::ask(instance, service, server, kept).await {
             instance.question_took(instance.now() - sent_at);
             return Ok(answer);
         }
     }
     instance.count_connect("question");
     let io = TcpStream::connect_addr(address).await?;
-    health::ask(instance, service, server, Connection::new(io, HEAD_LIMIT)).await
+    load_query::ask(instance, service, server, Connection::new(io, HEAD_LIMIT)).await
 }
 
 /// Returns the connection of the load query, or a new one, if the server is fit for the request.
--- a/crates/galenapath-gateway/src/health.rs
+++ b/crates/galenapath-gateway/src/load_query.rs
@@ -2,7 +2,7 @@
 
 use crate::instance::Instance;
 use crate::reply;
-use crate::said::{AnswerKind, ServerAnswer};
+use crate::server_answer::{AnswerKind, ServerAnswer};
 use crate::service::Service;
 use crate::usage::Flow;
 use galenapath_http::{
@@ -93,8 +93,8 @@
     is_other
 }
 
-/// Applies the time for which the server states that it stays cold, if any, and shares changes with the
-/// other instances.
+/// Applies the time for which the server states that it stays cold, if any, and shares changes with
+/// the other instances.
 fn apply_warm_up(instance: &Instance, service: &Service, id: &BackendId, head: &ResponseHead) {
     let stated = head.headers.get(&instance.names.cold_ms).and_then(|value| value.to_str().ok());
     let stated_ms = stated.and_then(|text| text.trim().parse::<f64>().ok());
--- a/crates/galenapath-gateway/src/probe.rs
+++ b/crates/galenapath-gateway/src/probe.rs
@@ -4,8 +4,8 @@
 //! works out the same assignment from the members that it knows. When a server is due, placement says by
 //! what is known of it.
 
-use crate::health::{self, Health};
 use crate::instance::{Instance, Stage, sleep_to_next};
+use crate::load_query::{self, Health};
 use crate::service::Service;
 use galenapath_http::{Connection, HttpError};
 use galenapath_membership::{Beats, Peer};
@@ -242,12 +242,12 @@
     kept: Option<Connection>,
 ) -> Result<Health, HttpError> {
     if let Some(connection) = kept
-        && let Ok(health) = health::ask(instance, service, id, connection).await
+        && let Ok(health) = load_query::ask(instance, service, id, connection).await
     {
         return Ok(health);
     }
     instance.count_connect("probe");
     let io = TcpStream::connect_addr(address).await?;
-    let connection = Connection::new(io, health::HEAD_LIMIT);
-    health::ask(instance, service, id, connection).await
+    let connection = Connection::new(io, load_query::HEAD_LIMIT);
+    load_query::ask(instance, service, id, connection).await
 }
--- a/crates/galenapath-gateway/src/run.rs
+++ b/crates/galenapath-gateway/src/run.rs
@@ -5,7 +5,7 @@
 use crate::metrics::Metrics;
 use crate::reload::{self, ReadSettings};
 use crate::stop::Signals;
-use crate::{GatewayError, caller, fleet, notices, probe, questions, sharing, stop, usage, watch};
+use crate::{GatewayError, caller, control, fleet, notices, probe, sharing, stop, usage, watch};
 use error_stack::{Report, ResultExt};
 use futures::future::{Either, select};
 use galenapath_platform::KeyStore;
@@ -91,7 +91,7 @@
 ) -> Result<(), Report<GatewayError>> {
     let callers = to_monoio(sockets.callers)?;
     for listener in [sockets.readiness, sockets.addresses].into_iter().chain(sockets.metrics) {
-        monoio::spawn(questions::serve(Rc::clone(instance), to_monoio(listener)?));
+        monoio::spawn(control::serve(Rc::clone(instance), to_monoio(listener)?));
     }
     let datagrams = UdpSocket::from_std(sockets.datagrams)
         .change_context(GatewayError::Start("the datagram socket"))?;
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -1,7 +1,7 @@
 //! A service: its backend servers, their placement state, and the requests waiting for them.
 
 use crate::instance::Instance;
-use crate::loss::LossWatchers;
+use crate::loss_watchers::LossWatchers;
 use crate::pool::{PooledConnection, Pools};
 use crate::waiting::Waiter;
 use galenapath_http::Connection;
