--- a/crates/galenapath-gateway/src/clock.rs
+++ b/crates/galenapath-gateway/src/clock.rs
@@ -25,7 +25,7 @@
     }
 
     /// Time since the start.
-    pub(crate) fn age(self) -> Micros {
+    pub(crate) fn uptime(self) -> Micros {
         self.now() - START
     }
 }
--- a/crates/galenapath-gateway/src/control.rs
+++ b/crates/galenapath-gateway/src/control.rs
@@ -1,7 +1,7 @@
 //! Serves the control listeners: readiness, instance addresses and metrics.
 
 use crate::addresses;
-use crate::dialect::Question;
+use crate::dialect::ControlRequest;
 use crate::instance::{Instance, Stage};
 use bytes::Bytes;
 use galenapath_http::{Connection, Framing, HeadTimes, RequestHead, connection_has, put_response};
@@ -77,16 +77,16 @@
         let body = instance.metrics.page().into();
         return Reply { status: StatusCode::OK, content_type: "text/plain; version=0.0.4", body };
     }
-    match instance.dialect.question(&head.uri) {
-        Some(Question::Ready) if instance.is_ready() => json(StatusCode::OK, Bytes::new()),
-        Some(Question::Ready) => json(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
-        Some(Question::Addresses(query)) => {
+    match instance.dialect.parse_control_request(&head.uri) {
+        Some(ControlRequest::Ready) if instance.is_ready() => json(StatusCode::OK, Bytes::new()),
+        Some(ControlRequest::Ready) => json(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
+        Some(ControlRequest::Addresses(query)) => {
             let addresses = addresses::addresses_for_caller(instance, &query.domain);
             if addresses.is_empty() {
                 return json(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
             }
             let keep_for = instance.settings().keep_addresses;
-            json(StatusCode::OK, instance.dialect.addresses(&addresses, keep_for))
+            json(StatusCode::OK, instance.dialect.encode_addresses(&addresses, keep_for))
         }
         None => json(StatusCode::NOT_FOUND, Bytes::new()),
     }
--- a/crates/galenapath-gateway/src/crash.rs
+++ b/crates/galenapath-gateway/src/crash.rs
@@ -63,7 +63,7 @@
         let note = CrashNote { server: server.hash(), request };
         log::warn!(server:% = server, request_hash:% = format!("{:032x}", request.0);
             "server crashed while running a request");
-        instance.take_crash(&note);
+        instance.record_crash(&note);
         instance.share_crash(note);
     });
 }
@@ -77,7 +77,7 @@
     let probe = async {
         let io = TcpStream::connect_addr(address).await.ok()?;
         let connection = Connection::new(io, load_query::HEAD_LIMIT);
-        let health = load_query::ask(instance, service, server, connection).await.ok()?;
+        let health = load_query::query(instance, service, server, connection).await.ok()?;
         Some(!health.is_other)
     };
     monoio::time::timeout(PROBE_TIMEOUT, probe).await.is_ok_and(|alive| alive == Some(true))
@@ -85,7 +85,7 @@
 
 impl Instance {
     /// Records a crash that this or another instance detected.
-    pub(crate) fn take_crash(&self, note: &CrashNote) {
+    pub(crate) fn record_crash(&self, note: &CrashNote) {
         self.suspects.borrow_mut().crashed(self.now(), note.server, &[note.request]);
     }
 }
--- a/crates/galenapath-gateway/src/dialect.rs
+++ b/crates/galenapath-gateway/src/dialect.rs
@@ -36,7 +36,7 @@
 
 /// A caller's request for instance addresses to connect to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AddressQuery {
+pub struct AddressRequest {
     /// Host that the caller will send requests to.
     pub host: String,
     /// Failure domain of the caller.
@@ -45,11 +45,11 @@
 
 /// A request that an instance answers itself instead of forwarding it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Question {
+pub enum ControlRequest {
     /// Whether the instance is ready.
     Ready,
     /// Which instances to connect to.
-    Addresses(AddressQuery),
+    Addresses(AddressRequest),
 }
 
 /// A platform's names and formats. Implementations make no load-balancing decisions.
@@ -58,7 +58,7 @@
     fn headers(&self) -> HeaderNames;
 
     /// Parses the value of the load header.
-    fn load(&self, text: &str) -> Option<LoadReport>;
+    fn parse_load(&self, text: &str) -> Option<LoadReport>;
 
     /// Prefix of the keys that the operator writes.
     fn operator_prefix(&self) -> &'static str;
@@ -78,19 +78,19 @@
     /// # Errors
     ///
     /// A description of the problem, for the log.
-    fn route_table(&self, value: &[u8]) -> Result<RouteTable, String>;
+    fn parse_route_table(&self, value: &[u8]) -> Result<RouteTable, String>;
 
     /// Parses the entry of the backend server `id`.
     ///
     /// # Errors
     ///
     /// A description of the problem, for the log.
-    fn server(&self, id: &str, value: &[u8]) -> Result<ServerRecord, String>;
+    fn parse_server(&self, id: &str, value: &[u8]) -> Result<ServerRecord, String>;
 
     /// Parses a request to the instance itself; `None` for an unknown path.
-    fn question(&self, uri: &Uri) -> Option<Question>;
+    fn parse_control_request(&self, uri: &Uri) -> Option<ControlRequest>;
 
     /// Encodes the body of the answer to an address request. Callers may use the addresses for
     /// `keep_for`.
-    fn addresses(&self, addresses: &[SocketAddr], keep_for: Duration) -> Bytes;
+    fn encode_addresses(&self, addresses: &[SocketAddr], keep_for: Duration) -> Bytes;
 }
--- a/crates/galenapath-gateway/src/exchange.rs
+++ b/crates/galenapath-gateway/src/exchange.rs
@@ -83,14 +83,14 @@
         let in_flight = match place(call).await {
             Ok(in_flight) => in_flight,
             Err(NoServer::Rejected(refusal)) => {
-                log_shortage(call);
+                add_shortage_step(call);
                 call.add_step(&format!("refused:predicted{}ms ", refusal.predicted.0 / 1_000));
                 let mut failure = failure(call, "no_room", StatusCode::BAD_GATEWAY);
                 failure.retry_after = failure.retry_after.map(|_| refusal.retry_after);
                 return fallback.ok_or(failure);
             }
             Err(NoServer::Unavailable) => {
-                log_shortage(call);
+                add_shortage_step(call);
                 let mut failure = failure(call, "no_server", StatusCode::BAD_GATEWAY);
                 failure.retry_after =
                     failure.retry_after.map(|usual| time_until_accepting(call).unwrap_or(usual));
@@ -155,8 +155,8 @@
     (wait > Micros::ZERO).then_some(wait)
 }
 
-/// Adds the reason why most servers get no requests to the log line.
-fn log_shortage(call: &Call) {
+/// Adds the reason why most servers get no requests to the steps in the log line.
+fn add_shortage_step(call: &Call) {
     let shortage = call.service.placement.borrow().shortage(call.instance.now());
     if let Some(shortage) = shortage {
         call.add_step(&format!("{} ", shortage.as_str()));
--- a/crates/galenapath-gateway/src/fitness.rs
+++ b/crates/galenapath-gateway/src/fitness.rs
@@ -1,7 +1,7 @@
 //! Checks, by a load query just before the send, that the selected server is still fit for the
 //! request.
 //!
-//! Load pattern: slowdowns that change within the time of a request, slots that other instances
+//! Load pattern: slowdowns that begin within the time of a request, slots that other instances
 //! fill, and servers without a free slot, where a new connection waits for one. A load query to
 //! such a server must not hold up the request, which moves to another server; the connection is
 //! opened all the same, for the next request.
@@ -10,7 +10,7 @@
 use crate::call::Call;
 use crate::in_flight::InFlight;
 use crate::instance::Instance;
-use crate::load_query::{self, Health};
+use crate::load_query::{self, LoadQueryAnswer};
 use crate::service::Service;
 use futures::channel::oneshot;
 use galenapath_http::{Connection, HttpError};
@@ -101,7 +101,7 @@
     server: &BackendId,
     address: SocketAddr,
     kept: Option<Connection>,
-) -> Result<Health, AttemptError> {
+) -> Result<LoadQueryAnswer, AttemptError> {
     let instance = &call.instance;
     let timeout = instance.patience_with_questions();
     let (tx, rx) = oneshot::channel();
@@ -114,7 +114,7 @@
         tx,
     ));
     match monoio::time::timeout(timeout.into(), rx).await {
-        Ok(Ok(Health { is_other: true, .. })) => Err(AttemptError::OtherServer),
+        Ok(Ok(LoadQueryAnswer { is_other: true, .. })) => Err(AttemptError::OtherServer),
         Ok(Ok(answer)) => Ok(answer),
         // Only the regular probes decide whether a server is unreachable.
         Ok(Err(_)) | Err(_) => Err(AttemptError::Unfit),
@@ -129,15 +129,16 @@
     server: BackendId,
     address: SocketAddr,
     kept: Option<Connection>,
-    tx: oneshot::Sender<Health>,
+    tx: oneshot::Sender<LoadQueryAnswer>,
 ) {
     let query = send_query(&instance, &service, &server, address, kept);
     let Ok(Ok(answer)) = monoio::time::timeout(QUERY_TIMEOUT, query).await else { return };
     instance.metrics.probes.with_label_values(&["before_send"]).inc();
-    if answer.sighting.is_none() {
+    if answer.observation.is_none() {
         service.record_missing_load(instance.now());
     }
-    if let Err(Health { connection: Some(connection), stated_idle, .. }) = tx.send(answer) {
+    if let Err(LoadQueryAnswer { connection: Some(connection), stated_idle, .. }) = tx.send(answer)
+    {
         service.keep_connection(instance.now(), &server, connection, stated_idle);
     }
 }
@@ -149,17 +150,17 @@
     server: &BackendId,
     address: SocketAddr,
     kept: Option<Connection>,
-) -> Result<Health, HttpError> {
+) -> Result<LoadQueryAnswer, HttpError> {
     if let Some(kept) = kept {
         let sent_at = instance.now();
-        if let Ok(answer) = load_query::ask(instance, service, server, kept).await {
+        if let Ok(answer) = load_query::query(instance, service, server, kept).await {
             instance.question_took(instance.now() - sent_at);
             return Ok(answer);
         }
     }
     instance.count_connect("question");
     let io = TcpStream::connect_addr(address).await?;
-    load_query::ask(instance, service, server, Connection::new(io, HEAD_LIMIT)).await
+    load_query::query(instance, service, server, Connection::new(io, HEAD_LIMIT)).await
 }
 
 /// Returns the connection of the load query, or a new one, if the server is fit for the request.
@@ -167,7 +168,7 @@
     call: &Call,
     in_flight: &InFlight,
     address: SocketAddr,
-    Health { connection, stated_idle, .. }: Health,
+    LoadQueryAnswer { connection, stated_idle, .. }: LoadQueryAnswer,
 ) -> Result<(Connection, bool), AttemptError> {
     let (now, server) = (call.instance.now(), &in_flight.server);
     let is_fit = call.service.placement.borrow().is_fit(now, server, in_flight.snapshot);
--- a/crates/galenapath-gateway/src/fleet/joining.rs
+++ b/crates/galenapath-gateway/src/fleet/joining.rs
@@ -33,7 +33,7 @@
             ask_a_seed(&instance, tries);
             tries += 1;
         }
-        let is_new = instance.clock.age() < ASK_OFTEN;
+        let is_new = instance.clock.uptime() < ASK_OFTEN;
         sleep(if is_new { ASK_AGAIN } else { ASK_SELDOM }).await;
     }
 }
--- a/crates/galenapath-gateway/src/fleet/tasks.rs
+++ b/crates/galenapath-gateway/src/fleet/tasks.rs
@@ -201,7 +201,7 @@
         }
         Datagram::Members(members) => take_members(instance, members, from),
         Datagram::Loads(loads) => instance.take_loads(&loads),
-        Datagram::Notices(notices) => instance.take_notices(&notices),
+        Datagram::Notices(notices) => instance.apply_notices(&notices),
         Datagram::End(incarnation) => {
             log::info!(incarnation:% = incarnation; "instance has ended");
             instance.beats.borrow_mut().ended(incarnation);
@@ -213,7 +213,7 @@
     let was_ready = instance.beats.borrow().is_ready(beat.from);
     let heard = instance.beats.borrow_mut().hear(instance.now(), beat);
     if !was_ready && instance.beats.borrow().is_ready(beat.from) {
-        instance.tell_newcomer(from);
+        instance.send_known_notices(from);
     }
     if beat.vitals.store == StoreHealth::Answering {
         instance.store_heard();
--- a/crates/galenapath-gateway/src/instance.rs
+++ b/crates/galenapath-gateway/src/instance.rs
@@ -150,7 +150,7 @@
         self.lines.set(lines);
         *self.settings.borrow_mut() = Rc::new(settings);
         for service in self.services.borrow().values() {
-            service.take_settings(self);
+            service.apply_settings(self);
         }
     }
 
@@ -330,7 +330,7 @@
 /// wake together
 /// by it, so that an instance that serves nobody wakes seldom.
 pub(crate) async fn sleep_to_next(instance: &Instance, span: Micros) {
-    sleep(span - Micros(instance.clock.age().0 % span.0)).await;
+    sleep(span - Micros(instance.clock.uptime().0 % span.0)).await;
 }
 
 /// Sleeps for `span`.
--- a/crates/galenapath-gateway/src/lib.rs
+++ b/crates/galenapath-gateway/src/lib.rs
@@ -48,7 +48,7 @@
 mod waiting;
 mod watch;
 
-pub use dialect::{AddressQuery, Dialect, HeaderNames, Question};
+pub use dialect::{AddressRequest, ControlRequest, Dialect, HeaderNames};
 pub use error::GatewayError;
 pub use logging::start_logging;
 pub use reload::ReadSettings;
--- a/crates/galenapath-gateway/src/load_query.rs
+++ b/crates/galenapath-gateway/src/load_query.rs
@@ -19,15 +19,15 @@
 /// Maximum size of the head of an answer, in bytes.
 pub(crate) const HEAD_LIMIT: usize = 8 * 1024;
 
-/// Upper limits on the time for an answer; users of [`ask`] set a shorter one.
+/// Upper limits on the time for an answer; users of [`query`] set a shorter one.
 const TIMES: HeadTimes = HeadTimes { idle: Duration::from_secs(1), head: Duration::from_secs(1) };
 
 const MS_PER_S: f64 = 1_000.0;
 
 /// A backend server's answer to a load query.
-pub(crate) struct Health {
+pub(crate) struct LoadQueryAnswer {
     /// The server's load, if it reports one.
-    pub(crate) sighting: Option<Sighting>,
+    pub(crate) observation: Option<Sighting>,
     /// Whether a different server has the address.
     pub(crate) is_other: bool,
     /// The connection, if it can be reused.
@@ -39,12 +39,12 @@
 /// Queries the load of the server on `connection` and applies everything that the answer reports.
 /// Its status code is ignored, because healthy servers may report that they are unhealthy, and the
 /// reverse.
-pub(crate) async fn ask(
+pub(crate) async fn query(
     instance: &Instance,
     service: &Service,
     id: &BackendId,
     mut connection: Connection,
-) -> Result<Health, HttpError> {
+) -> Result<LoadQueryAnswer, HttpError> {
     let mut headers = HeaderMap::new();
     if let Some(host) = host(service, id) {
         headers.insert(HOST, host);
@@ -69,8 +69,8 @@
     }
     let closes = reply::closes(&head.headers) || framing == Framing::UntilClose;
     let is_clean = !closes && !connection.has_unread();
-    Ok(Health {
-        sighting: apply_load(instance, service, id, &head, queried_at),
+    Ok(LoadQueryAnswer {
+        observation: apply_load(instance, service, id, &head, queried_at),
         is_other,
         connection: is_clean.then_some(connection),
         stated_idle: reply::stated_idle(&head.headers),
@@ -120,7 +120,7 @@
     at: Micros,
 ) -> Option<Sighting> {
     let observation = read_load(instance, head, at)?;
-    if service.see(instance, id, observation) {
+    if service.observe_load(instance, id, observation) {
         instance.share_load(service, id, observation);
     }
     Some(observation)
@@ -136,10 +136,10 @@
 ) -> Option<Sighting> {
     service.placement.borrow_mut().reached(id);
     let observation = read_load(instance, head, instance.now())?;
-    service.see(instance, id, observation).then_some(observation)
+    service.observe_load(instance, id, observation).then_some(observation)
 }
 
 fn read_load(instance: &Instance, head: &ResponseHead, at: Micros) -> Option<Sighting> {
     let text = head.headers.get(&instance.names.load)?.to_str().ok()?;
-    Some(Sighting { at, report: instance.dialect.load(text)? })
+    Some(Sighting { at, report: instance.dialect.parse_load(text)? })
 }
--- a/crates/galenapath-gateway/src/notices.rs
+++ b/crates/galenapath-gateway/src/notices.rs
@@ -67,7 +67,7 @@
     }
 
     /// Applies notices from another instance.
-    pub(crate) fn take_notices(&self, notices: &Notices) {
+    pub(crate) fn apply_notices(&self, notices: &Notices) {
         let now = self.now();
         let services: Vec<_> = self.services.borrow().values().cloned().collect();
         for service in services {
@@ -106,7 +106,7 @@
 
     /// Sends the notices in force to an instance that has just become ready. An instance in the
     /// same failure domain gets all known limits, so that it need not learn them from the servers.
-    pub(crate) fn tell_newcomer(&self, address: SocketAddr) {
+    pub(crate) fn send_known_notices(&self, address: SocketAddr) {
         let is_home = self.beats.borrow().is_home(&address);
         let limits = if is_home { Placement::limits_told } else { Placement::limits_told_again };
         self.send_notices(&self.notices(limits), &[address]);
--- a/crates/galenapath-gateway/src/probe.rs
+++ b/crates/galenapath-gateway/src/probe.rs
@@ -5,7 +5,7 @@
 //! what is known of it.
 
 use crate::instance::{Instance, Stage, sleep_to_next};
-use crate::load_query::{self, Health};
+use crate::load_query::{self, LoadQueryAnswer};
 use crate::service::Service;
 use galenapath_http::{Connection, HttpError};
 use galenapath_membership::{Beats, Peer};
@@ -78,8 +78,8 @@
     let (now, shares) = (instance.now(), instance.ask_shares());
     for service in instance.services.borrow().values() {
         service.prune_connections(now);
-        service.share_probes(now, shares);
-        service.share_retries(instance);
+        service.update_probe_share(now, shares);
+        service.update_retry_share(instance);
     }
     let mine = if may_probe(instance) { mine(instance) } else { FastMap::default() };
     share_scarce(instance);
@@ -99,7 +99,7 @@
 
 /// Whether this instance is one of those that probe: it serves callers, or nobody does.
 fn may_probe(instance: &Instance) -> bool {
-    let is_settled = instance.clock.age() >= SETTLES_WITHIN;
+    let is_settled = instance.clock.uptime() >= SETTLES_WITHIN;
     is_settled && (instance.vitals().serves_callers || !is_anyone_serving(instance))
 }
 
@@ -214,7 +214,7 @@
                 log::info!(server:% = id; "server answers probes again");
             }
             target.failures = 0;
-            if health.sighting.is_none() {
+            if health.observation.is_none() {
                 target.not_before = instance.now() + SILENT_PERIOD;
             }
         }
@@ -227,7 +227,7 @@
                 log::info!(server:% = id, address:% = address, error:% = e; "server out of reach");
             }
             if target.failures >= FAILURES {
-                service.lost(now, &id);
+                service.mark_unreachable(now, &id);
                 instance.share_failure(&service, &id, 1.0);
             }
         }
@@ -240,14 +240,14 @@
     id: &BackendId,
     address: SocketAddr,
     kept: Option<Connection>,
-) -> Result<Health, HttpError> {
+) -> Result<LoadQueryAnswer, HttpError> {
     if let Some(connection) = kept
-        && let Ok(health) = load_query::ask(instance, service, id, connection).await
+        && let Ok(health) = load_query::query(instance, service, id, connection).await
     {
         return Ok(health);
     }
     instance.count_connect("probe");
     let io = TcpStream::connect_addr(address).await?;
     let connection = Connection::new(io, load_query::HEAD_LIMIT);
-    load_query::ask(instance, service, id, connection).await
+    load_query::query(instance, service, id, connection).await
 }
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -51,7 +51,7 @@
 }
 
 /// Address and failure domain of a server.
-pub(crate) struct ServerAt {
+pub(crate) struct ServerAddress {
     pub(crate) id: BackendId,
     pub(crate) address: SocketAddr,
     pub(crate) domain: DomainId,
@@ -121,10 +121,10 @@
     }
 
     /// Applies changed settings.
-    pub(crate) fn take_settings(&self, instance: &Instance) {
+    pub(crate) fn apply_settings(&self, instance: &Instance) {
         self.query_rate.set(instance.settings().probes_per_second * QUERY_SHARE);
         self.shares.set(None);
-        self.share_retries(instance);
+        self.update_retry_share(instance);
     }
 
     /// Whether no request has needed a server for [`IDLE_AFTER`]. Most instances of a large fleet
@@ -184,7 +184,7 @@
     }
 
     /// Marks a server that answers no probes as unreachable and notifies its requests.
-    pub(crate) fn lost(&self, now: Micros, id: &BackendId) {
+    pub(crate) fn mark_unreachable(&self, now: Micros, id: &BackendId) {
         self.placement.borrow_mut().not_reached(now, id);
         self.loss_watchers.notify(id);
     }
@@ -256,10 +256,10 @@
     }
 
     /// The servers whose failure domains are not evacuated.
-    pub(crate) fn servers(&self) -> Vec<ServerAt> {
+    pub(crate) fn servers(&self) -> Vec<ServerAddress> {
         let listed = self.listed.borrow();
         let in_use = listed.iter().filter(|(_, server)| !server.is_withdrawn);
-        let all = in_use.map(|(id, server)| ServerAt {
+        let all = in_use.map(|(id, server)| ServerAddress {
             id: id.clone(),
             address: server.record.address,
             domain: server.record.domain.clone(),
@@ -286,7 +286,12 @@
     }
 
     /// Applies a load observation; returns whether it was an update.
-    pub(crate) fn see(&self, instance: &Instance, id: &BackendId, observation: Sighting) -> bool {
+    pub(crate) fn observe_load(
+        &self,
+        instance: &Instance,
+        id: &BackendId,
+        observation: Sighting,
+    ) -> bool {
         let is_update = self.placement.borrow_mut().see(id, observation);
         if is_update {
             self.poll(instance);
@@ -306,8 +311,8 @@
     }
 
     /// Updates this instance's share of the retry budget.
-    pub(crate) fn share_retries(&self, instance: &Instance) {
-        let share = if instance.clock.age() < RETRY_SHARE_SETTLING_TIME {
+    pub(crate) fn update_retry_share(&self, instance: &Instance) {
+        let share = if instance.clock.uptime() < RETRY_SHARE_SETTLING_TIME {
             INITIAL_RETRY_SHARE
         } else {
             f64::from(instance.load_share()).min(MAX_RETRY_SHARE)
@@ -317,7 +322,7 @@
     }
 
     /// Updates this instance's shares of the query budget.
-    pub(crate) fn share_probes(&self, now: Micros, shares: AskShares) {
+    pub(crate) fn update_probe_share(&self, now: Micros, shares: AskShares) {
         if self.shares.replace(Some(shares)) == Some(shares) {
             return;
         }
--- a/crates/galenapath-gateway/src/services.rs
+++ b/crates/galenapath-gateway/src/services.rs
@@ -39,7 +39,7 @@
             let service = match self.removed.remove(name) {
                 Some((_, service)) => {
                     service.set_spec(spec);
-                    service.take_settings(instance);
+                    service.apply_settings(instance);
                     service
                 }
                 None => Service::new(name, spec.clone(), instance),
--- a/crates/galenapath-gateway/src/sharing.rs
+++ b/crates/galenapath-gateway/src/sharing.rs
@@ -137,7 +137,7 @@
     /// Takes in what another instance saw.
     pub(crate) fn take_loads(&self, loads: &Loads) {
         let now = self.now();
-        loads.crashes.iter().for_each(|note| self.take_crash(note));
+        loads.crashes.iter().for_each(|note| self.record_crash(note));
         let services: Vec<_> = self.services.borrow().values().cloned().collect();
         for service in services {
             if !loads.warmth.is_empty() {
@@ -147,7 +147,7 @@
             for note in &loads.loads {
                 if let Some(id) = service.by_short_id(note.server) {
                     let sighting = Sighting { at: now - note.age, report: note.report };
-                    service.see(self, &id, sighting);
+                    service.observe_load(self, &id, sighting);
                 }
             }
             for note in &loads.failures {
--- a/crates/galenapath-gateway/src/startup.rs
+++ b/crates/galenapath-gateway/src/startup.rs
@@ -14,8 +14,7 @@
 /// better served elsewhere.
 const STARTUP_PERIOD: Micros = Micros::from_secs(1);
 
-/// A request waits for at most one part in this many of its caller timeout; the rest is left for
-/// its work.
+/// A request waits for at most its caller timeout divided by this; the rest is left for its work.
 const MAX_WAIT_DIVISOR: u64 = 4;
 
 const POLL_INTERVAL: Micros = Micros::from_millis(5);
@@ -25,7 +24,7 @@
 pub(crate) async fn wait_until_known(instance: &Instance, caller_timeout: Micros) {
     let latest = instance.now() + Micros(caller_timeout.0 / MAX_WAIT_DIVISOR);
     while !instance.state.borrow().is_known()
-        && instance.clock.age() < STARTUP_PERIOD
+        && instance.clock.uptime() < STARTUP_PERIOD
         && instance.now() < latest
     {
         sleep(POLL_INTERVAL).await;
--- a/crates/galenapath-gateway/src/state.rs
+++ b/crates/galenapath-gateway/src/state.rs
@@ -129,7 +129,7 @@
     fn take_text(&self, text: &[u8], source: Source, packed: impl FnOnce() -> Packed) {
         let before = self.state.borrow().table.version();
         let source = source.as_str();
-        let table = match self.dialect.route_table(text) {
+        let table = match self.dialect.parse_route_table(text) {
             Ok(table) => table,
             Err(e) => {
                 log::error!(error = e, source, in_force = before; "configuration refused");
@@ -179,7 +179,7 @@
         let Some(id) = self.server_id(event.key()) else { return };
         let mut gone_at = self.state.borrow().gone_at(self.now());
         let (revision, change) = match event {
-            KeyEvent::Put(item) => match self.dialect.server(id, &item.value) {
+            KeyEvent::Put(item) => match self.dialect.parse_server(id, &item.value) {
                 Ok(record) => (item.revision.0, Change::Put(record)),
                 Err(e) => {
                     self.note_unreadable(id, item.revision.0, &e);
@@ -213,7 +213,7 @@
         let mut unreadable = Vec::new();
         for Item { key, value, revision } in items {
             let (id, revision) = (self.server_id(key).unwrap_or(key), revision.0);
-            match self.dialect.server(id, value) {
+            match self.dialect.parse_server(id, value) {
                 Ok(record) => list.push(ListedServer { revision, record, lapses_in: None }),
                 Err(e) => {
                     self.note_unreadable(id, revision, &e);
