--- a/crates/galenapath-gateway/src/attempt.rs
+++ b/crates/galenapath-gateway/src/attempt.rs
@@ -228,8 +228,8 @@
     let mut body = BodyState::new(framing);
     let start =
         reply::read_start(&mut connection, &mut body).await.map_err(|e| attempt_error(&e))?;
-    let is_home = call.service.is_home(&in_flight.server);
-    call.instance.usage.count(Flow::Request, is_home, connection.take_carried());
+    let is_local = call.service.is_local(&in_flight.server);
+    call.instance.usage.count(Flow::Request, is_local, connection.take_carried());
     let stated = reply::stated_idle(&head.headers);
     let closes = reply::closes(&head.headers) || framing == Framing::UntilClose;
     let rest = if body.is_complete() {
@@ -239,7 +239,7 @@
         }
         None
     } else {
-        Some(RemainingBody { connection, body, is_home })
+        Some(RemainingBody { connection, body, is_local })
     };
     Ok(Reply {
         status: head.status,
--- a/crates/galenapath-gateway/src/caller.rs
+++ b/crates/galenapath-gateway/src/caller.rs
@@ -186,14 +186,14 @@
     let fingerprint = Fingerprint::of(&route.host, head.method.as_str(), &path, &body);
     let failed_first = instance.failed.borrow_mut().take(arrived, fingerprint.0);
     let first_at = failed_first.unwrap_or(arrived);
-    let chance = if failed_first.is_some() { Chance::Last } else { Chance::First };
+    let caller_attempt = if failed_first.is_some() { Chance::Last } else { Chance::First };
     let target_at = instance.target_at(&route, arrived, first_at, caller_timeout);
     let req = Request {
         ticket: instance.next_ticket(),
         id,
         path,
         fingerprint,
-        chance,
+        caller_attempt,
         first_at,
         method: head.method,
         headers: request::server_headers(&instance.names, head.headers),
@@ -229,8 +229,8 @@
     caller: &mut Caller,
     req: Request,
 ) -> Result<(), HttpError> {
-    let part = instance.pick_part(&req.route).to_owned();
-    let Some(service) = instance.service(&part) else {
+    let service_name = instance.pick_part(&req.route).to_owned();
+    let Some(service) = instance.service(&service_name) else {
         let answer = LocalAnswer::new(StatusCode::SERVICE_UNAVAILABLE, "no_service");
         record_rejected(instance, req.id.as_ref(), &req.path, &answer);
         return answer.send(instance, caller, req.id.as_ref()).await;
@@ -238,8 +238,8 @@
     let call = Call::new(instance, service, req);
     let result = {
         let work = pin!(exchange::run(&call));
-        let gone = pin!(caller.connection.closed());
-        match select(work, gone).await {
+        let closed = pin!(caller.connection.closed());
+        match select(work, closed).await {
             Either::Left((result, _)) => Some(result),
             Either::Right(_) => None,
         }
--- a/crates/galenapath-gateway/src/exchange.rs
+++ b/crates/galenapath-gateway/src/exchange.rs
@@ -192,7 +192,7 @@
 /// Takes a retry out of the service's retry budget, if any is left.
 pub(crate) fn take_retry(call: &Call) -> bool {
     let now = call.instance.now();
-    let is_taken = call.service.retries.borrow_mut().try_retry_for(now, call.req.chance);
+    let is_taken = call.service.retries.borrow_mut().try_retry_for(now, call.req.caller_attempt);
     if !is_taken {
         call.add_step("retry_budget_spent ");
     }
--- a/crates/galenapath-gateway/src/in_flight.rs
+++ b/crates/galenapath-gateway/src/in_flight.rs
@@ -45,7 +45,7 @@
     /// Records that the request has been sent, and shares the server's new load.
     pub(crate) fn mark_sent(&self) {
         self.count_sent();
-        self.instance.note_send(!self.service.is_home(&self.server));
+        self.instance.note_send(!self.service.is_local(&self.server));
         self.share_load();
     }
 
--- a/crates/galenapath-gateway/src/load_query.rs
+++ b/crates/galenapath-gateway/src/load_query.rs
@@ -59,7 +59,7 @@
     let framing = response_framing(&Method::GET, head.status, &head.headers)?;
     let mut body = BodyState::new(framing);
     while connection.read_body(&mut body).await?.is_some() {}
-    instance.usage.count(Flow::Question, service.is_home(id), connection.take_carried());
+    instance.usage.count(Flow::Question, service.is_local(id), connection.take_carried());
     service.placement.borrow_mut().reached(id);
     let is_other = is_other(instance, service, id, &head);
     if !is_other {
--- a/crates/galenapath-gateway/src/notices.rs
+++ b/crates/galenapath-gateway/src/notices.rs
@@ -107,8 +107,8 @@
     /// Sends the notices in force to an instance that has just become ready. An instance in the
     /// same failure domain gets all known limits, so that it need not learn them from the servers.
     pub(crate) fn send_known_notices(&self, address: SocketAddr) {
-        let is_home = self.beats.borrow().is_home(&address);
-        let limits = if is_home { Placement::limits_told } else { Placement::limits_told_again };
+        let is_local = self.beats.borrow().is_home(&address);
+        let limits = if is_local { Placement::limits_told } else { Placement::limits_told_again };
         self.send_notices(&self.notices(limits), &[address]);
     }
 
--- a/crates/galenapath-gateway/src/relay.rs
+++ b/crates/galenapath-gateway/src/relay.rs
@@ -39,7 +39,7 @@
     put_response(caller.connection.output(), status, &headers, framing, true);
     let mut rest = rest;
     let sent = stream(caller, framing, &start, &mut rest).await;
-    call.instance.usage.count(Flow::Request, rest.is_home, rest.connection.take_carried());
+    call.instance.usage.count(Flow::Request, rest.is_local, rest.connection.take_carried());
     let outcome = if sent.is_ok() { "answered" } else { "broke_off" };
     record_end(call, &answered_end(status, outcome));
     sent
@@ -73,8 +73,8 @@
     rest: &mut RemainingBody,
 ) -> Result<Option<Bytes>, HttpError> {
     let piece = pin!(with_stall_timeout(rest.connection.read_body(&mut rest.body)));
-    let gone = pin!(caller.connection.closed());
-    match select(piece, gone).await {
+    let closed = pin!(caller.connection.closed());
+    match select(piece, closed).await {
         Either::Left((piece, _)) => piece,
         Either::Right(_) => Err(HttpError::Closed),
     }
--- a/crates/galenapath-gateway/src/reply.rs
+++ b/crates/galenapath-gateway/src/reply.rs
@@ -30,7 +30,7 @@
     pub(crate) connection: Connection,
     pub(crate) body: BodyState,
     /// Whether the server is in this instance's failure domain.
-    pub(crate) is_home: bool,
+    pub(crate) is_local: bool,
 }
 
 /// A backend server's answer.
--- a/crates/galenapath-gateway/src/request.rs
+++ b/crates/galenapath-gateway/src/request.rs
@@ -28,7 +28,7 @@
     /// Identifies requests for the same work.
     pub(crate) fingerprint: Fingerprint,
     /// Whether the caller has sent the same request before.
-    pub(crate) chance: Chance,
+    pub(crate) caller_attempt: Chance,
     /// When the caller's first attempt arrived, as far as known.
     pub(crate) first_at: Micros,
     /// When the head was read.
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -43,7 +43,7 @@
 struct ListedServer {
     record: Arc<ServerRecord>,
     /// Whether it is in this instance's failure domain.
-    is_home: bool,
+    is_local: bool,
     /// Whether its failure domain is evacuated, so that it gets no requests.
     is_withdrawn: bool,
     /// This instance's share of the budget for load queries to the server.
@@ -146,14 +146,14 @@
         if self.generation.replace(state.generation()) == state.generation() {
             return;
         }
-        let home = instance.settings().domain.clone();
+        let own_domain = instance.settings().domain.clone();
         let mut list = Vec::new();
         let now = instance.now();
         let shares = instance.ask_shares();
         let mut before = self.listed.take();
         let mut listed = FastMap::default();
         for record in directory.servers().filter(|record| *record.service == *self.name) {
-            let is_home = record.domain == home;
+            let is_local = record.domain == own_domain;
             let is_withdrawn = state.evacuations.contains(&record.domain);
             let run = record.run_id();
             let before = before.remove(&run);
@@ -162,17 +162,17 @@
             list.push(PlacedServer {
                 id: run.clone(),
                 slots: record.slots,
-                is_home,
+                is_home: is_local,
                 is_leaving: record.state == ServerState::Leaving || state.leaving.contains(&run),
                 is_withdrawn,
                 cold_for: if has_turned_cold { record.cold_for.into() } else { Micros::ZERO },
             });
             let queries = before.map_or_else(
-                || AskBudget::new(now, self.query_share_rate(shares, is_home)),
+                || AskBudget::new(now, self.query_share_rate(shares, is_local)),
                 |server| server.queries,
             );
             let record = Arc::clone(record);
-            listed.insert(run, ListedServer { record, is_home, is_withdrawn, queries });
+            listed.insert(run, ListedServer { record, is_local, is_withdrawn, queries });
         }
         // Connections to an evacuated domain would be closed by its servers, or be stale by the
         // time the domain is used again.
@@ -236,8 +236,8 @@
     }
 
     /// Whether a server is in this instance's failure domain; false once it is no longer listed.
-    pub(crate) fn is_home(&self, id: &BackendId) -> bool {
-        self.listed.borrow().get(id).is_some_and(|server| server.is_home)
+    pub(crate) fn is_local(&self, id: &BackendId) -> bool {
+        self.listed.borrow().get(id).is_some_and(|server| server.is_local)
     }
 
     /// The failure domain of a server; `None` once it is no longer listed.
@@ -327,12 +327,12 @@
             return;
         }
         for server in self.listed.borrow_mut().values_mut() {
-            server.queries.set_rate(now, self.query_share_rate(shares, server.is_home));
+            server.queries.set_rate(now, self.query_share_rate(shares, server.is_local));
         }
     }
 
-    fn query_share_rate(&self, shares: AskShares, is_home: bool) -> f64 {
-        self.query_rate.get() * if is_home { shares.home } else { shares.away }
+    fn query_share_rate(&self, shares: AskShares, is_local: bool) -> f64 {
+        self.query_rate.get() * if is_local { shares.home } else { shares.away }
     }
 
     /// Takes a load query out of this instance's share of a server's budget, if any is left.
