--- a/crates/galenapath-gateway/src/fleet/joining.rs
+++ b/crates/galenapath-gateway/src/fleet/joining.rs
@@ -35,7 +35,7 @@
             request_members_from_seed(&instance, attempts);
             attempts += 1;
         }
-        let is_new = instance.clock.age() < FAST_RETRY_FOR;
+        let is_new = instance.clock.uptime() < FAST_RETRY_FOR;
         sleep(if is_new { FAST_RETRY_PERIOD } else { SLOW_RETRY_PERIOD }).await;
     }
 }
--- a/crates/galenapath-gateway/src/fleet/tasks.rs
+++ b/crates/galenapath-gateway/src/fleet/tasks.rs
@@ -207,7 +207,7 @@
         }
         Datagram::Members(members) => apply_members(instance, members, from),
         Datagram::Loads(loads) => instance.apply_loads(&loads),
-        Datagram::Notices(notices) => instance.take_notices(&notices),
+        Datagram::Notices(notices) => instance.apply_notices(&notices),
         Datagram::End(incarnation) => {
             log::info!(incarnation:% = incarnation; "instance has ended");
             instance.membership.borrow_mut().ended(incarnation);
@@ -219,7 +219,7 @@
     let was_ready = instance.membership.borrow().is_ready(heartbeat.from);
     let outcome = instance.membership.borrow_mut().hear(instance.now(), heartbeat);
     if !was_ready && instance.membership.borrow().is_ready(heartbeat.from) {
-        instance.tell_newcomer(from);
+        instance.send_known_notices(from);
     }
     if heartbeat.vitals.store == StoreHealth::Answering {
         instance.record_store_answer();
--- a/crates/galenapath-gateway/src/instance.rs
+++ b/crates/galenapath-gateway/src/instance.rs
@@ -150,7 +150,7 @@
         self.line_budget.set(budget);
         *self.settings.borrow_mut() = Rc::new(settings);
         for service in self.services.borrow().values() {
-            service.take_settings(self);
+            service.apply_settings(self);
         }
     }
 
@@ -334,7 +334,7 @@
 ///
 /// Periodic tasks thereby wake at the same time, so that an idle instance wakes rarely.
 pub(crate) async fn sleep_to_next(instance: &Instance, span: Micros) {
-    sleep(span - Micros(instance.clock.age().0 % span.0)).await;
+    sleep(span - Micros(instance.clock.uptime().0 % span.0)).await;
 }
 
 pub(crate) async fn sleep(span: Micros) {
--- /dev/null
+++ b/crates/galenapath-gateway/src/load_query.rs
@@ -0,0 +1,145 @@
+//! Load queries to backend servers, and load reports in their answers.
+
+use crate::instance::Instance;
+use crate::reply;
+use crate::server_answer::{AnswerKind, ServerAnswer};
+use crate::service::Service;
+use crate::usage::Flow;
+use galenapath_http::{
+    BodyState, Connection, Framing, HeadTimes, HttpError, ResponseHead, put_request,
+    response_framing,
+};
+use galenapath_policy::LineKind;
+use galenapath_policy::place::Sighting;
+use galenapath_protocol::{BackendId, Micros};
+use http::header::{HOST, HeaderMap, HeaderValue};
+use http::{Method, StatusCode};
+use std::time::Duration;
+
+/// Maximum size of the head of an answer, in bytes.
+pub(crate) const HEAD_LIMIT: usize = 8 * 1024;
+
+/// Upper limits on the time for an answer; users of [`query`] set a shorter one.
+const TIMES: HeadTimes = HeadTimes { idle: Duration::from_secs(1), head: Duration::from_secs(1) };
+
+const MS_PER_S: f64 = 1_000.0;
+
+/// A backend server's answer to a load query.
+pub(crate) struct LoadQueryAnswer {
+    /// The server's load, if it reports one.
+    pub(crate) observation: Option<Sighting>,
+    /// Whether a different server has the address.
+    pub(crate) is_other: bool,
+    /// The connection, if it can be reused.
+    pub(crate) connection: Option<Connection>,
+    /// Idle time after which the server closes the connection, if it states one.
+    pub(crate) stated_idle: Option<Micros>,
+}
+
+/// Queries the load of the server on `connection` and applies everything that the answer reports.
+/// Its status code is ignored, because healthy servers may report that they are unhealthy, and the
+/// reverse.
+pub(crate) async fn query(
+    instance: &Instance,
+    service: &Service,
+    id: &BackendId,
+    mut connection: Connection,
+) -> Result<LoadQueryAnswer, HttpError> {
+    let mut headers = HeaderMap::new();
+    if let Some(host) = host(service, id) {
+        headers.insert(HOST, host);
+    }
+    let path = service.spec.borrow().health_path.clone();
+    // The observation is dated to the query: an instance short of processor time may read the
+    // answer long after the load was as reported.
+    let queried_at = instance.now();
+    put_request(connection.output(), &Method::GET, &path, &headers, &[], Framing::None);
+    connection.flush().await?;
+    let head = connection.read_response(TIMES).await?;
+    let framing = response_framing(&Method::GET, head.status, &head.headers)?;
+    let mut body = BodyState::new(framing);
+    while connection.read_body(&mut body).await?.is_some() {}
+    instance.usage.count(Flow::Query, service.is_local(id), connection.take_carried());
+    service.placement.borrow_mut().reached(id);
+    let is_other = is_other(instance, service, id, &head);
+    if !is_other {
+        apply_warm_up(instance, service, id, &head);
+        let (head, kind, sent_at) = (&head, AnswerKind::LoadQuery, queried_at);
+        ServerAnswer { instance, service, id, head, kind, sent_at }.apply();
+    }
+    let closes = reply::closes(&head.headers) || framing == Framing::UntilClose;
+    let is_clean = !closes && !connection.has_unread();
+    Ok(LoadQueryAnswer {
+        observation: apply_load(instance, service, id, &head, queried_at),
+        is_other,
+        connection: is_clean.then_some(connection),
+        stated_idle: reply::stated_idle(&head.headers),
+    })
+}
+
+fn host(service: &Service, id: &BackendId) -> Option<HeaderValue> {
+    HeaderValue::from_str(&service.address(id)?.to_string()).ok()
+}
+
+fn is_other(instance: &Instance, service: &Service, id: &BackendId, head: &ResponseHead) -> bool {
+    let stated = head.headers.get(&instance.names.server_id);
+    let listed = service.listed_id(id);
+    let is_other = stated.is_some_and(|stated| listed.is_none_or(|listed| stated != &*listed.0))
+        || head.status == StatusCode::MISDIRECTED_REQUEST;
+    if is_other {
+        log::info!(server:% = id; "address belongs to another server");
+        service.placement.borrow_mut().mark_leaving(id);
+    }
+    is_other
+}
+
+/// Applies the time for which the server states that it stays cold, if any, and shares changes with
+/// the other instances.
+fn apply_warm_up(instance: &Instance, service: &Service, id: &BackendId, head: &ResponseHead) {
+    let stated = head.headers.get(&instance.names.cold_ms).and_then(|value| value.to_str().ok());
+    let stated_ms = stated.and_then(|text| text.trim().parse::<f64>().ok());
+    // Negative and overflowing values and those that are not numbers are ignored.
+    let left = stated_ms.and_then(|ms| Duration::try_from_secs_f64(ms / MS_PER_S).ok());
+    let Some(left) = left.map(Micros::from) else { return };
+    let changed = service.placement.borrow_mut().set_cold(instance.now(), id, left);
+    let Some(cold_until) = changed else { return };
+    instance.share_warmth(service, id, cold_until);
+    if instance.may_log(LineKind::Peer) {
+        let cold_ms = left.0 / 1_000;
+        log::info!(server:% = id, cold_ms; "server warm-up changed");
+    }
+}
+
+/// Applies the load report in the answer to a load query, dated to `at`, and shares changes with
+/// the other instances.
+fn apply_load(
+    instance: &Instance,
+    service: &Service,
+    id: &BackendId,
+    head: &ResponseHead,
+    at: Micros,
+) -> Option<Sighting> {
+    let observation = read_load(instance, head, at)?;
+    if service.observe_load(instance, id, observation) {
+        instance.share_load(service, id, observation);
+    }
+    Some(observation)
+}
+
+/// Applies the load report in the answer to a request; returns it if it is an update. It is shared
+/// with the other instances only once it is known whether a request waiting here takes the slot.
+pub(crate) fn apply_answer_load(
+    instance: &Instance,
+    service: &Service,
+    id: &BackendId,
+    head: &ResponseHead,
+) -> Option<Sighting> {
+    service.placement.borrow_mut().reached(id);
+    let observation = read_load(instance, head, instance.now())?;
+    service.observe_load(instance, id, observation).then_some(observation)
+}
+
+fn read_load(instance: &Instance, head: &ResponseHead, at: Micros) -> Option<Sighting> {
+    let text = head.headers.get(&instance.names.load)?.to_str().ok()?;
+    Some(Sighting { at, report: instance.dialect.parse_load(text)? })
+}
--- a/crates/galenapath-gateway/src/probe.rs
+++ b/crates/galenapath-gateway/src/probe.rs
@@ -4,8 +4,8 @@
 //! the others. Every instance computes the same assignment from the members that it knows. The
 //! placement decides when a server is due for a probe, from what is known of the server.
 
-use crate::health::{self, Health};
 use crate::instance::{Instance, Stage, sleep_to_next};
+use crate::load_query::{self, LoadQueryAnswer};
 use crate::service::Service;
 use galenapath_http::{Connection, HttpError};
 use galenapath_membership::{Beats, Peer};
@@ -80,8 +80,8 @@
     let (now, shares) = (instance.now(), instance.query_shares());
     for service in instance.services.borrow().values() {
         service.prune_connections(now);
-        service.share_probes(now, shares);
-        service.share_retries(instance);
+        service.update_probe_share(now, shares);
+        service.update_retry_share(instance);
     }
     let assigned =
         if may_probe(instance) { assigned_servers(instance) } else { FastMap::default() };
@@ -102,7 +102,7 @@
 
 /// Whether this instance is one of those that probe: it serves callers, or no instance does.
 fn may_probe(instance: &Instance) -> bool {
-    let is_past_startup = instance.clock.age() >= STARTUP_DELAY;
+    let is_past_startup = instance.clock.uptime() >= STARTUP_DELAY;
     is_past_startup && (instance.status().serves_callers || !is_any_peer_serving(instance))
 }
 
@@ -218,7 +218,7 @@
                 log::info!(server:% = id; "server answers probes again");
             }
             target.failures = 0;
-            if health.sighting.is_none() {
+            if health.observation.is_none() {
                 target.not_before = instance.now() + NO_REPORT_PERIOD;
             }
         }
@@ -231,7 +231,7 @@
                 log::info!(server:% = id, address:% = address, error:% = e; "server out of reach");
             }
             if target.failures >= UNREACHABLE_AFTER {
-                service.lost(now, &id);
+                service.mark_unreachable(now, &id);
                 instance.share_failure(&service, &id, 1.0);
             }
         }
@@ -244,14 +244,14 @@
     id: &BackendId,
     address: SocketAddr,
     reused: Option<Connection>,
-) -> Result<Health, HttpError> {
+) -> Result<LoadQueryAnswer, HttpError> {
     if let Some(connection) = reused
-        && let Ok(health) = health::ask(instance, service, id, connection).await
+        && let Ok(health) = load_query::query(instance, service, id, connection).await
     {
         return Ok(health);
     }
     instance.count_connect("probe");
     let io = TcpStream::connect_addr(address).await?;
-    let connection = Connection::new(io, health::HEAD_LIMIT);
-    health::ask(instance, service, id, connection).await
+    let connection = Connection::new(io, load_query::HEAD_LIMIT);
+    load_query::query(instance, service, id, connection).await
 }
--- a/crates/galenapath-gateway/src/sharing.rs
+++ b/crates/galenapath-gateway/src/sharing.rs
@@ -140,7 +140,7 @@
     /// Applies the updates received from another instance.
     pub(crate) fn apply_loads(&self, loads: &Loads) {
         let now = self.now();
-        loads.crashes.iter().for_each(|note| self.take_crash(note));
+        loads.crashes.iter().for_each(|note| self.record_crash(note));
         let services: Vec<_> = self.services.borrow().values().cloned().collect();
         for service in services {
             if !loads.warmth.is_empty() {
@@ -150,7 +150,7 @@
             for note in &loads.loads {
                 if let Some(id) = service.by_short_id(note.server) {
                     let sighting = Sighting { at: now - note.age, report: note.report };
-                    service.see(self, &id, sighting);
+                    service.observe_load(self, &id, sighting);
                 }
             }
             for note in &loads.failures {
--- a/crates/galenapath-gateway/src/state.rs
+++ b/crates/galenapath-gateway/src/state.rs
@@ -139,7 +139,7 @@
     ) {
         let before = self.state.borrow().table.version();
         let source = source.as_str();
-        let table = match self.dialect.route_table(text) {
+        let table = match self.dialect.parse_route_table(text) {
             Ok(table) => table,
             Err(e) => {
                 log::error!(error = e, source, in_force = before; "configuration refused");
@@ -189,7 +189,7 @@
         let Some(id) = self.server_id(event.key()) else { return };
         let mut gone_at = self.state.borrow().removal_time(self.now());
         let (revision, change) = match event {
-            KeyEvent::Put(item) => match self.dialect.server(id, &item.value) {
+            KeyEvent::Put(item) => match self.dialect.parse_server(id, &item.value) {
                 Ok(record) => (item.revision.0, Change::Put(record)),
                 Err(e) => {
                     self.report_unreadable_entry(id, item.revision.0, &e);
@@ -223,7 +223,7 @@
         let mut unreadable = Vec::new();
         for Item { key, value, revision } in items {
             let (id, revision) = (self.server_id(key).unwrap_or(key), revision.0);
-            match self.dialect.server(id, value) {
+            match self.dialect.parse_server(id, value) {
                 Ok(record) => list.push(ListedServer { revision, record, lapses_in: None }),
                 Err(e) => {
                     self.report_unreadable_entry(id, revision, &e);
