--- a/crates/galenapath-policy/src/lib.rs
+++ b/crates/galenapath-policy/src/lib.rs
@@ -1,15 +1,15 @@
-//! Decisions under load, as code without a clock, a socket, a thread or global randomness.
+//! Load-balancing decisions, as pure code without a clock, sockets, threads or global randomness.
 //!
-//! Time comes in as [`Micros`](galenapath_protocol::Micros) and randomness as seeds, so that every
-//! decision can be replayed.
+//! Callers pass the time as [`Micros`](galenapath_protocol::Micros) and randomness as seeds, so that
+//! every decision can be replayed.
 //!
-//! - [`admission`]: what is let in, what waits and what is turned away.
-//! - [`balance`]: which backend server a request goes to.
-//! - [`dispatch`]: which entry instances dispatch for a service, and how connections are shared.
+//! - [`admission`]: which requests start, wait in a queue or are rejected.
+//! - [`balance`]: which backend server a request is sent to.
+//! - [`dispatch`]: which entry instances dispatch for a service, and how they share connections.
 //! - [`LineBudget`]: which log lines about requests are written.
-//! - [`measure`]: when a backend server may be probed, inside a hard budget.
-//! - [`place`]: placement on servers whose pace changes within a request, and who waits for them.
-//! - [`retry`]: when a request may be sent again, and when a second copy may go out.
+//! - [`measure`]: when a backend server may be probed, within a fixed budget.
+//! - [`place`]: placement and queueing for servers whose speed changes within a request.
+//! - [`retry`]: when a request may be retried, and when it may be hedged.
 
 pub mod admission;
 pub mod balance;
--- a/crates/galenapath-policy/src/lines.rs
+++ b/crates/galenapath-policy/src/lines.rs
@@ -1,67 +1,66 @@
-//! Which log lines about requests are written.
+//! Limits the number of log lines written per second.
 //!
-//! Load pattern: a second with more requests than a reader of the log can use or the processor can
-//! write. Failures are what the log is read for, so lines about answers that went well have a budget of
-//! their own, which can use up none of theirs; with one budget for both, 200 good answers in a second
-//! left no line for a failure in it. Both are bounded, since a burst of refusals is a thousand lines a
-//! second.
+//! Load pattern: more requests per second than the processor can log or an operator can read. The log
+//! is read mainly for failures, so successful requests have a separate budget: with a shared one, 200
+//! successful answers in a second left no line for a failure in the same second. Failures are bounded
+//! too, because a burst of rejections would write a thousand lines per second.
 
 use galenapath_protocol::Micros;
 
-/// Lines about failures for each line about a request that went well.
-const FAILURES_PER_LINE: u32 = 10;
+/// Ratio of the failure budget to the success budget.
+const FAILURES_PER_SUCCESS: u32 = 10;
 
 const SECOND: Micros = Micros::from_secs(1);
 
-/// What a line is about.
+/// The subject of a log line; each kind has its own budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineKind {
-    /// A request that was answered well and in time.
+    /// A request that was answered successfully and in time.
     Good,
-    /// A request that failed, was refused or was late.
+    /// A request that failed, was rejected or was late.
     Failure,
-    /// What others have found out about an instance: all of them write it, and hundreds may come or go at
-    /// the same moment.
+    /// A state change of a peer instance. Every instance logs it, and hundreds of instances may join or
+    /// leave at the same moment.
     Peer,
 }
 
-/// The lines of one second.
+/// Log lines written in the current second, and the limits for each kind.
 #[derive(Clone, Copy, Debug)]
 pub struct LineBudget {
-    /// Lines about good answers in a second.
+    /// Lines per second about successful requests.
     per_second: u32,
-    /// When the second began.
-    began: Micros,
-    good: u32,
+    /// Start of the current second.
+    started_at: Micros,
+    successes: u32,
     failures: u32,
     peers: u32,
 }
 
 impl LineBudget {
-    /// A budget of `per_second` lines about good answers, as many about instances and ten times as many about
-    /// failures.
+    /// Creates a budget of `per_second` lines about successful requests, the same number about peer
+    /// instances and ten times as many about failures.
     pub fn new(per_second: u32) -> Self {
-        Self { per_second, began: Micros::ZERO, good: 0, failures: 0, peers: 0 }
+        Self { per_second, started_at: Micros::ZERO, successes: 0, failures: 0, peers: 0 }
     }
 
-    /// Changes the budget.
+    /// Changes the budget; lines already written in the current second still count.
     pub fn set(&mut self, per_second: u32) {
         self.per_second = per_second;
     }
 
-    /// Whether one more line is written.
+    /// Returns whether one more line may be written, and counts it if so.
     pub fn take(&mut self, now: Micros, kind: LineKind) -> bool {
-        if now - self.began >= SECOND {
-            *self = Self { began: now, good: 0, failures: 0, peers: 0, ..*self };
+        if now - self.started_at >= SECOND {
+            *self = Self { started_at: now, successes: 0, failures: 0, peers: 0, ..*self };
         }
-        let (used, most) = match kind {
-            LineKind::Good => (&mut self.good, self.per_second),
+        let (used, limit) = match kind {
+            LineKind::Good => (&mut self.successes, self.per_second),
             LineKind::Peer => (&mut self.peers, self.per_second),
             LineKind::Failure => {
-                (&mut self.failures, self.per_second.saturating_mul(FAILURES_PER_LINE))
+                (&mut self.failures, self.per_second.saturating_mul(FAILURES_PER_SUCCESS))
             }
         };
-        let fits = *used < most;
+        let fits = *used < limit;
         *used += u32::from(fits);
         fits
     }
--- a/crates/galenapath-policy/src/outcome.rs
+++ b/crates/galenapath-policy/src/outcome.rs
@@ -1,18 +1,19 @@
 //! How a request that was sent to a backend server ended.
 
-/// The end of one request on a backend server, as the instance saw it.
+/// How a request on a backend server ended, as the instance observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// A complete answer came back.
+    /// A complete answer was received.
     Answered,
-    /// The backend server refused the request without running it.
+    /// The backend server rejected the request without running it.
     Shed,
-    /// An error, or a close, faster than work can be done; says nothing about spare capacity.
+    /// An error or a closed connection, faster than the work could have been done; it is no sign of
+    /// spare capacity.
     FastFailure,
-    /// The connection or the answer broke off.
+    /// The connection was lost or the answer was incomplete.
     Failure,
-    /// No answer within the time allowed.
+    /// No answer arrived within the time allowed.
     TimedOut,
-    /// The caller went away, or another try answered first.
+    /// The caller disconnected, or another attempt was answered first.
     Cancelled,
 }
--- a/crates/galenapath-policy/src/quantile.rs
+++ b/crates/galenapath-policy/src/quantile.rs
@@ -1,37 +1,38 @@
-//! A running estimate of one quantile in constant space.
+//! Streaming estimate of one quantile in constant space.
 
-/// Follows one quantile of a stream of positive values.
+/// Estimates one quantile of a stream of positive values by stochastic approximation.
 ///
-/// Each value moves the estimate by a small part of itself: up by the quantile, down by the rest,
-/// so that it rests where the given share of the values lies below. It follows a change of the
-/// distribution within a few hundred values.
+/// A larger value raises the estimate by a step times the quantile, any other value lowers it by the
+/// step times one minus the quantile. The two balance where the given share of the values lies below
+/// the estimate. The step is a fixed fraction of the estimate, so that a change of the distribution is
+/// followed within a few hundred values.
 #[derive(Clone, Debug)]
 pub struct QuantileEstimate {
-    /// The quantile followed; above 0, below 1.
+    /// The estimated quantile; above 0, below 1.
     quantile: f64,
     /// The estimate; zero until the first value.
     value: f64,
-    /// Values seen, saturating.
+    /// Number of values observed, saturating.
     samples: u32,
 }
 
 impl QuantileEstimate {
-    /// Part of the estimate by which one value may move it.
-    const STEP: f64 = 0.05;
+    /// Step as a fraction of the estimate.
+    const STEP_RATIO: f64 = 0.05;
 
-    /// An estimate without values.
+    /// Creates an estimate without values.
     pub fn new(quantile: f64) -> Self {
         Self { quantile, value: 0.0, samples: 0 }
     }
 
-    /// Takes in a value.
+    /// Adds a value.
     pub fn observe(&mut self, x: f64) {
         self.samples = self.samples.saturating_add(1);
         if self.samples == 1 {
             self.value = x;
             return;
         }
-        let step = self.value.max(1.0) * Self::STEP;
+        let step = self.value.max(1.0) * Self::STEP_RATIO;
         if x > self.value {
             self.value += step * self.quantile;
         } else {
@@ -39,12 +40,12 @@
         }
     }
 
-    /// The estimate; zero without values.
+    /// Returns the estimate; zero before the first value.
     pub fn value(&self) -> f64 {
         self.value
     }
 
-    /// Values seen.
+    /// Returns the number of values observed.
     pub fn samples(&self) -> u32 {
         self.samples
     }
--- a/crates/galenapath-policy/src/retry/attempts.rs
+++ b/crates/galenapath-policy/src/retry/attempts.rs
@@ -1,33 +1,35 @@
-//! The count of attempts that travels with a call and back with its answer, in
+//! The attempt count of a call, sent with the request and returned with the answer in
 //! [`ATTEMPT_HEADER`](galenapath_protocol::ATTEMPT_HEADER).
 
-/// Attempts made on one call, as one instance in the chain knows them.
+/// Number of attempts made on one call along the call chain, as known at one level of it.
 ///
-/// A call carries the count of attempts so far; an answer carries the highest count that any level
-/// below has reached. A level that takes both in never repeats what the level below has used up.
+/// A request carries the number of attempts so far; an answer carries the highest number that any
+/// downstream level has reached. A level that merges both does not retry when the levels below it have
+/// used up the attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptCount {
-    /// Attempts known so far, the running one included. At least one.
+    /// Known attempts, including the running one. At least one.
     made: u32,
 }
 
 impl AttemptCount {
-    /// The count that came with the call; zero and one both mean a first attempt.
+    /// Creates the count from the one received with the request; zero and one both mean a first
+    /// attempt.
     pub fn received(count: u32) -> Self {
         Self { made: count.max(1) }
     }
 
-    /// The count to send along with the running attempt.
+    /// Returns the count to send with the running attempt.
     pub fn made(self) -> u32 {
         self.made
     }
 
-    /// Takes in the count that came back with an answer.
+    /// Merges the count received with an answer.
     pub fn reported(&mut self, count: u32) {
         self.made = self.made.max(count);
     }
 
-    /// Notes that a further attempt starts.
+    /// Counts the start of another attempt.
     pub fn again(&mut self) {
         self.made = self.made.saturating_add(1);
     }
--- a/crates/galenapath-policy/src/retry/budget.rs
+++ b/crates/galenapath-policy/src/retry/budget.rs
@@ -1,19 +1,19 @@
-//! How many retries and hedges a service may send.
+//! Limits the retries and hedges that an instance sends to a service.
 //!
-//! Load pattern: a fault or an overload that makes a large part of the requests fail. Without a
-//! budget every failure is sent again, the load doubles or trebles just when capacity is missing,
-//! and stays there after the cause has gone.
+//! Load pattern: a fault or an overload makes a large part of the requests fail. Without a budget every
+//! failed request is retried, which doubles or triples the load while capacity is short, and keeps the
+//! load high after the cause is gone.
 
 use galenapath_protocol::Micros;
 
-/// Thresholds of the retry budget.
+/// Settings of the retry budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryConfig {
-    /// Retries allowed for each first try, 0 to 1.
+    /// Retries allowed per first attempt, 0 to 1.
     pub share: f64,
-    /// Retries per second allowed whatever the number of first tries.
+    /// Retries allowed per second regardless of the number of first attempts.
     pub floor_per_second: f64,
-    /// Most retries that may be saved up. At least one.
+    /// Maximum number of accumulated retries. At least one.
     pub burst: f64,
 }
 
@@ -23,67 +23,67 @@
     }
 }
 
-/// Time for which part of a budget is left to callers who have come back, after one of them needed a retry.
-const RESERVED_FOR: Micros = Micros::from_secs(2);
+/// How long part of the budget stays reserved for repeated requests after one of them needed a retry.
+const RESERVATION_TIME: Micros = Micros::from_secs(2);
 
-/// Part of the burst that is left to them: a retry on a first attempt gains less, since its caller may
-/// come back.
-const RESERVED_PART: f64 = 0.5;
+/// Fraction of the burst that is reserved for repeated requests. A retry of a request that the caller
+/// sent for the first time is worth less, because the caller may still send it again.
+const RESERVED_FRACTION: f64 = 0.5;
 
-/// What a retry means for its request.
+/// Whether the caller sends a request for the first time or again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Chance {
-    /// Its caller has not been here yet, and may come back.
+    /// The caller has not sent the request before and may send it again if it fails.
     First,
-    /// Its caller has come back: it is the last one.
+    /// The caller has sent the request before; it is not expected to send it again.
     Last,
 }
 
-/// The retry budget of one service: a share of the first tries, and a small floor.
+/// Token bucket for the retries of one service, filled by first attempts and at a small constant rate.
 pub struct RetryBudget {
     cfg: RetryConfig,
-    /// Retries that may be sent now; from 0 to `cfg.burst`.
+    /// Retries that may be sent now, from 0 to `cfg.burst`.
     tokens: f64,
-    /// When the floor was last added.
-    filled_at: Micros,
-    /// Until when part of the budget is left to callers who have come back.
+    /// When tokens were last added at the constant rate.
+    refilled_at: Micros,
+    /// End of the period in which part of the budget is reserved for repeated requests.
     reserved_until: Micros,
 }
 
 impl RetryBudget {
-    /// A budget that starts with one second of its floor.
+    /// Creates a budget that starts with one second's worth of `floor_per_second`.
     pub fn new(cfg: RetryConfig) -> Self {
         let tokens = cfg.floor_per_second.min(cfg.burst);
-        Self { cfg, tokens, filled_at: Micros::ZERO, reserved_until: Micros::ZERO }
+        Self { cfg, tokens, refilled_at: Micros::ZERO, reserved_until: Micros::ZERO }
     }
 
-    /// Changes the thresholds.
+    /// Replaces the settings; accumulated retries beyond the new burst are dropped.
     pub fn set_config(&mut self, now: Micros, cfg: RetryConfig) {
         self.add_floor(now);
         self.tokens = self.tokens.min(cfg.burst);
         self.cfg = cfg;
     }
 
-    /// A request was sent for the first time.
+    /// Records the first attempt of a request.
     pub fn first_try(&mut self, now: Micros) {
         self.add_floor(now);
         self.add(self.cfg.share);
     }
 
-    /// Whether a retry or hedge may be sent now; if so it is counted.
+    /// Returns whether a retry or hedge may be sent now, and takes it from the budget if so.
     pub fn try_retry(&mut self, now: Micros) -> bool {
         self.try_retry_for(now, Chance::First)
     }
 
-    /// The same for a request whose caller has come back, or has not.
+    /// Like [`Self::try_retry`], but lets repeated requests use the reserved part of the budget.
     pub fn try_retry_for(&mut self, now: Micros, chance: Chance) -> bool {
         self.add_floor(now);
         let reserved = match chance {
             Chance::Last => {
-                self.reserved_until = now + RESERVED_FOR;
+                self.reserved_until = now + RESERVATION_TIME;
                 0.0
             }
-            Chance::First if now < self.reserved_until => self.cfg.burst * RESERVED_PART,
+            Chance::First if now < self.reserved_until => self.cfg.burst * RESERVED_FRACTION,
             Chance::First => 0.0,
         };
         if self.tokens < 1.0 + reserved {
@@ -93,15 +93,15 @@
         true
     }
 
-    /// Whether the budget is so well filled that a retry that gains little may be sent.
+    /// Returns whether enough budget is left for retries of low value.
     pub fn is_ample(&mut self, now: Micros) -> bool {
         self.add_floor(now);
         self.tokens >= self.cfg.burst * 0.6
     }
 
     fn add_floor(&mut self, now: Micros) {
-        let elapsed = now - self.filled_at;
-        self.filled_at = self.filled_at.max(now);
+        let elapsed = now - self.refilled_at;
+        self.refilled_at = self.refilled_at.max(now);
         self.add(elapsed.0 as f64 / 1e6 * self.cfg.floor_per_second);
     }
 
--- a/crates/galenapath-policy/src/retry/mod.rs
+++ b/crates/galenapath-policy/src/retry/mod.rs
@@ -1,15 +1,15 @@
-//! What is sent a second time: retries after a failure and hedges before an answer.
+//! Retries of failed requests, and hedges of requests that have not been answered yet.
 
-mod allowance;
 mod attempts;
 mod budget;
-mod callers;
+mod failed_requests;
 mod hedge;
 mod rule;
+mod shared_budget;
 
-pub use allowance::SharedAllowance;
 pub use attempts::AttemptCount;
 pub use budget::{Chance, RetryBudget, RetryConfig};
-pub use callers::FailedRequests;
+pub use failed_requests::FailedRequests;
 pub use hedge::{HedgeConfig, HedgePolicy};
 pub use rule::{MAX_ATTEMPTS, RequestKind, may_retry};
+pub use shared_budget::SharedAllowance;
--- a/crates/galenapath-policy/src/retry/rule.rs
+++ b/crates/galenapath-policy/src/retry/rule.rs
@@ -1,38 +1,39 @@
-//! Whether a failed request may be sent again.
+//! Whether a failed request may be retried.
 //!
-//! Load pattern: a service that fails or sheds, called along chains up to 11 deep. Without the rule
-//! each level repeats what the level below has already repeated: three tries on 11 levels make
-//! 3^11 = 177,147 requests of one. The count of attempts therefore travels with the call and back
-//! with the answer (see [`AttemptCount`](super::AttemptCount)), and the rule bounds the whole chain.
+//! Load pattern: a service that fails or sheds load, called through chains of up to 11 levels. Without
+//! this rule each level retries what the level below it has already retried: three attempts on 11
+//! levels turn one request into 3^11 = 177,147. The attempt count is therefore sent with the request
+//! and returned with the answer (see [`AttemptCount`](super::AttemptCount)), and the rule limits the
+//! attempts of the whole chain.
 
 use galenapath_protocol::{Micros, Verdict};
 
-/// Most attempts on one call, over the whole chain, the first included.
+/// Maximum number of attempts on one call over the whole chain, including the first.
 ///
-/// Three: the second attempt meets another backend server, which mends the fault of a single one;
-/// the third covers a second fault at the same time. Further ones only add load.
+/// Three, because the second attempt goes to another backend server, which covers the fault of a single
+/// server, and the third covers a second fault at the same time. Further attempts only add load.
 pub const MAX_ATTEMPTS: u32 = 3;
 
-/// Least time that has to be left for a further attempt to be worth its work.
-const MIN_TIME_LEFT: Micros = Micros::from_millis(1);
+/// Minimum remaining deadline for another attempt; with less, the answer would be too late.
+const MIN_REMAINING: Micros = Micros::from_millis(1);
 
-/// Kind of work, as far as repeating it goes.
+/// Kind of request, by how safe and how expensive it is to run it twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestKind {
-    /// Reads only; running it twice does no harm.
+    /// Only reads; safe to run twice.
     Lookup,
-    /// Changes records; must run at most once.
+    /// Changes records; non-idempotent, must run at most once.
     Filing,
-    /// A large read; running it twice does no harm, but is expensive.
+    /// A large read; safe to run twice, but expensive.
     Transfer,
 }
 
-/// Whether a request that ended with `verdict` may be sent again.
+/// Returns whether a request that ended with `verdict` may be retried.
 ///
-/// `attempt` is the number of attempts made so far over the whole chain, `left` the time until the
-/// caller's deadline. The retry budget has to agree as well.
-pub fn may_retry(kind: RequestKind, verdict: Verdict, attempt: u32, left: Micros) -> bool {
-    if attempt >= MAX_ATTEMPTS || left < MIN_TIME_LEFT {
+/// `attempt` is the number of attempts made so far over the whole chain, `remaining` the time until the
+/// caller's deadline. The retry budget has to allow the retry as well.
+pub fn may_retry(kind: RequestKind, verdict: Verdict, attempt: u32, remaining: Micros) -> bool {
+    if attempt >= MAX_ATTEMPTS || remaining < MIN_REMAINING {
         return false;
     }
     match (verdict, kind) {
