--- a/crates/galenapath-policy/src/admission/config.rs
+++ b/crates/galenapath-policy/src/admission/config.rs
@@ -1,26 +1,29 @@
-//! Thresholds of admission.
+//! Settings of admission control.
 
 use galenapath_protocol::Micros;
 
-/// How the limit on requests in flight is found.
+/// How the limit on requests in flight is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitRule {
-    /// What the balancer says, as it is.
+    /// The number of slots that the balancer states, unchanged.
     Fixed,
-    /// What the balancer says, within bounds that the instance's own measurements set.
+    /// The number of slots that the balancer states, within bounds that the instance learns from
+    /// its own requests.
     Adaptive,
 }
 
-/// Thresholds of the concurrency limit.
+/// Settings of the concurrency limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitConfig {
-    /// How the limit is found.
+    /// How the limit is determined.
     pub rule: LimitRule,
-    /// Latency over baseline that is not yet taken for a queue at the backend servers. Above one.
+    /// Ratio of latency to baseline up to which no queue at the backend servers is assumed. Above
+    /// one.
     pub tolerated_inflation: f64,
-    /// Factor on the level when latency is inflated; 0 to 1.
+    /// Factor on the learned limit when latency is inflated; 0 to 1.
     pub decrease: f64,
-    /// Part of the level added when it is used up and latency is not inflated; above 0.
+    /// Fraction of the learned limit that is added when it is used up and latency is not inflated;
+    /// above 0.
     pub increase: f64,
 }
 
@@ -30,44 +33,46 @@
     }
 }
 
-/// Thresholds of admission.
+/// Settings of admission control.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// Slots assumed at the start. At least one.
+    /// Number of slots assumed at the start. At least one.
     pub initial_slots: u32,
-    /// Thresholds of the limit on requests in flight.
+    /// Settings of the limit on requests in flight.
     pub limit: LimitConfig,
-    /// Most requests of one work length that wait at once, over all workspaces. At least one.
+    /// Maximum number of queued requests per work length, over all workspaces. At least one.
     pub max_waiting: usize,
-    /// Most workspaces told apart; the rest share one.
+    /// Maximum number of workspaces with a queue of their own; all others share one queue.
     pub max_workspaces: usize,
-    /// Whether workspaces take turns; otherwise all share one queue.
+    /// Whether workspaces are served round robin; otherwise all share one queue.
     pub fair_shares: bool,
-    /// Whether a request is rejected as soon as its wait is predicted to be too long; otherwise
-    /// only a full queue and the caller's deadline reject.
+    /// Whether a request is rejected as soon as its predicted wait is too long; otherwise requests
+    /// are rejected only because of a full queue or the caller's deadline.
     pub early_rejection: bool,
-    /// Least part of a class's target that a request may wait, however long its work takes; 0 to 1.
+    /// Fraction of a class's target that a request may always wait, however long its work takes; 0
+    /// to 1.
     pub min_wait_share: f64,
-    /// Part of the allowed wait up to which new requests are taken; 0 to 1. The rest is room for
-    /// errors of the prediction.
+    /// Fraction of the allowed wait up to which new requests are queued; 0 to 1. The rest covers
+    /// prediction errors.
     pub prediction_margin: f64,
-    /// Time for which the wait has to stay above the short allowance before the service counts as
-    /// overloaded, and below it before it no longer does.
+    /// How long the wait has to stay above the overload limit (see `overload_wait_share`) before
+    /// the service counts as overloaded, and below it before it no longer does.
     pub overload_after: Micros,
-    /// The short allowance: the part of the allowed wait that is left to workspaces over their
-    /// share while the service is overloaded; 0 to 1.
+    /// Overload limit of the wait: the fraction of the allowed wait that remains for workspaces
+    /// over their share while the service is overloaded; 0 to 1.
     pub overload_wait_share: f64,
-    /// Part of the known slots that stays free when long work starts, at least one slot, where short
-    /// work shares the service; 0 to 1. Zero lets long work start like short work.
+    /// Fraction of the known slots that long work must leave free when it starts, at least one
+    /// slot, in a service that also has short work; 0 to 1. With zero, long work starts like short
+    /// work.
     pub short_reserve: f64,
-    /// Most of the known slots that long work may take then; 0 to 1.
+    /// Maximum fraction of the known slots that long work may occupy in such a service; 0 to 1.
     pub long_share: f64,
-    /// Part of the limit up to which long work needs no free slots beside it and alternates with
+    /// Fraction of the limit up to which long work need not leave slots free and alternates with
     /// short work, so that it is not starved; 0 to 1.
     pub long_floor: f64,
-    /// Shortest time that a rejected caller is told to stay away.
+    /// Minimum retry-after time of a rejection.
     pub min_retry_after: Micros,
-    /// Longest time that a rejected caller is told to stay away, before jitter.
+    /// Maximum retry-after time of a rejection, before jitter.
     pub max_retry_after: Micros,
 }
 
--- a/crates/galenapath-policy/src/admission/controller.rs
+++ b/crates/galenapath-policy/src/admission/controller.rs
@@ -1,30 +1,30 @@
-//! Admission of one service on one instance.
+//! Admission control for one service on one instance.
 //!
-//! Load pattern: everything between a short burst and a lasting overload. The queue is here and
-//! not at the backend servers, where nothing in it could be taken back. A request starts if the
-//! concurrency limit has room, waits if its predicted wait leaves enough of the class's target
-//! and of the caller's deadline, and is otherwise turned away at once with the time to come back.
-//! Without the prediction every request waits until its target is missed, and an overload that is
-//! over goes on as a backlog.
-
+//! Load pattern: anything from a short burst to a lasting overload. Requests are queued here and
+//! not at the backend servers, because a request that was sent cannot be taken back. A request
+//! starts if the concurrency limit allows it, waits if its predicted wait leaves enough of the
+//! class's target and of the caller's deadline, and is otherwise rejected at once with a
+//! retry-after time. Without the prediction, every request would wait until its target is missed,
+//! and the backlog of an overload would outlast it.
+
+use super::admitted_load::AdmittedLoad;
 use super::classes::Classes;
 use super::config::AdmissionConfig;
 use super::decision::{Decision, RejectReason, Step};
-use super::fair_queue::Waiting;
+use super::fair_queue::QueuedRequest;
 use super::lane::Lane;
 use super::limit::ConcurrencyLimit;
 use super::offer::{ClassPolicy, Offer, Ticket, WorkLength, WorkspaceIndex};
-use super::own_load::OwnLoad;
-use super::returns::ReturnSchedule;
+use super::retry_after::RetrySchedule;
 use super::workspaces::WorkspaceTable;
 use crate::outcome::Outcome;
 use galenapath_protocol::{FastMap, Micros};
 use std::collections::BTreeSet;
 
-/// Decides for one service on one instance which requests start, wait or are turned away.
+/// Decides for one service on one instance which requests start, wait or are rejected.
 ///
-/// Every offered ticket gets exactly one final step: a `Start` or `Reject` decision, or a
-/// [`Step`] after `Wait`; a cancelled one gets none after the cancellation.
+/// Every offered ticket gets exactly one final decision: `Start` or `Reject`, or a [`Step`] after
+/// `Wait`. A cancelled ticket gets none after the cancellation.
 pub struct Admission {
     pub(super) cfg: AdmissionConfig,
     pub(super) classes: Classes,
@@ -32,18 +32,19 @@
     pub(super) limit: ConcurrencyLimit,
     short: Lane,
     long: Lane,
-    /// Started and not yet finished or cancelled; as many as the lanes' `in_flight` together.
+    /// Requests that have started and have not been finished or cancelled; as many as the sum of
+    /// the lanes' `in_flight`.
     running: FastMap<Ticket, Running>,
-    /// Where each waiting ticket is.
-    pub(super) places: FastMap<Ticket, Place>,
-    /// When each waiting ticket is given up on.
-    pub(super) give_ups: BTreeSet<(Micros, Ticket)>,
-    /// Steps decided since the last `poll`.
+    /// The queue entry of each waiting ticket.
+    pub(super) queued: FastMap<Ticket, QueueEntry>,
+    /// Waiting tickets by the time at which they are rejected.
+    pub(super) expirations: BTreeSet<(Micros, Ticket)>,
+    /// Decisions made since the last `poll`.
     pub(super) pending: Vec<Step>,
-    pub(super) returns: ReturnSchedule,
-    own_load: OwnLoad,
-    /// Whether long work was started last, while both lengths waited.
-    long_went_last: bool,
+    pub(super) retries: RetrySchedule,
+    admitted_load: AdmittedLoad,
+    /// Whether the last request started from the queue was long work.
+    was_last_long: bool,
     draining: bool,
 }
 
@@ -54,14 +55,14 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Place {
+pub(super) struct QueueEntry {
     length: WorkLength,
     workspace: WorkspaceIndex,
-    give_up_at: Micros,
+    expires_at: Micros,
 }
 
 impl Admission {
-    /// A new admission; `seed` drives the jitter of the times told to rejected callers.
+    /// Creates an admission control; `seed` determines the jitter of the retry-after times.
     pub fn new(cfg: AdmissionConfig, seed: u64) -> Self {
         Self {
             classes: Classes::default(),
@@ -70,138 +71,145 @@
             short: Lane::default(),
             long: Lane::default(),
             running: FastMap::default(),
-            places: FastMap::default(),
-            give_ups: BTreeSet::new(),
+            queued: FastMap::default(),
+            expirations: BTreeSet::new(),
             pending: Vec::new(),
-            returns: ReturnSchedule::new(cfg.min_retry_after, cfg.max_retry_after, seed),
-            own_load: OwnLoad::default(),
-            long_went_last: false,
+            retries: RetrySchedule::new(cfg.min_retry_after, cfg.max_retry_after, seed),
+            admitted_load: AdmittedLoad::default(),
+            was_last_long: false,
             draining: false,
             cfg,
         }
     }
 
-    /// Replaces the classes of the service. What waits keeps the target it came with.
+    /// Replaces the classes of the service. Queued requests keep the target that they arrived with.
     pub fn set_classes(&mut self, classes: &[ClassPolicy]) {
         self.classes.set(classes);
     }
 
-    /// The index of a workspace; once the bound is reached, new names share one.
+    /// Returns the index of a workspace. Once the maximum number is reached, new names share one
+    /// index.
     pub fn workspace(&mut self, name: &str) -> WorkspaceIndex {
         self.workspaces.index(name)
     }
 
-    /// Sets how many requests this instance may have in flight for the service now, as the balancer
-    /// knows it: those that the balancer counts as its own in flight, and its free slots. Both have
-    /// to come from the balancer: a request that was started here and is not sent yet would otherwise
-    /// count as in flight while its slot still counts as free.
+    /// Sets the number of requests that this instance may have in flight for the service, as stated
+    /// by the balancer: the balancer's own count of requests in flight plus its free slots.
+    ///
+    /// Both numbers have to come from the balancer. Otherwise a request that has started here and
+    /// is not sent yet would count as in flight while its slot still counts as free.
     pub fn set_capacity(&mut self, now: Micros, slots: u32) {
-        self.limit.set_told(now, slots);
+        self.limit.set_balancer_slots(now, slots);
     }
 
-    /// Sets how many slots the service has on all backend servers that take requests. Call it when
-    /// the list of servers changes: the loss of servers is known then, while from latency alone it
-    /// looks like work that has become slower, which does not lower the limit.
+    /// Sets the number of slots of the service on all backend servers that accept requests.
+    ///
+    /// Call it when the list of servers changes. Judged by latency alone, a loss of servers cannot
+    /// be distinguished from slower work, which does not lower the limit.
     pub fn set_service_slots(&mut self, now: Micros, slots: u32) {
         self.limit.set_service_slots(now, slots);
     }
 
-    /// Turns new requests away (`true`) or takes them again; what waits is still served.
+    /// Rejects new requests (`true`) or accepts them again. Requests in the queue are still served.
     pub fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
-    /// Decides about a new request. Call `poll` afterwards if `next_wake` is in the past: room
-    /// may have been made for it at the cost of others.
+    /// Decides on a new request. Call `poll` afterwards if `next_wake` is in the past: other
+    /// requests may have been rejected to make room for this one.
     pub fn offer(&mut self, now: Micros, offer: Offer) -> Decision {
         let length = self.classes.get(offer.class).policy.length;
         if self.draining {
-            return self.turn_away(now, length, RejectReason::Draining);
+            return self.reject(now, length, RejectReason::Draining);
         }
         if offer.deadline <= now {
-            return self.turn_away(now, length, RejectReason::DeadlinePassed);
+            return self.reject(now, length, RejectReason::DeadlinePassed);
         }
         if self.lane(length).queue().is_empty() && self.has_slot(length) {
-            self.own_load.let_in(offer.workspace);
+            self.admitted_load.record(offer.workspace);
             self.start(offer.ticket, Running { class: offer.class, length });
             return Decision::Start;
         }
-        self.note_wait(now, length);
+        self.observe_wait(now, length);
         match self.reason_to_reject(now, length, &offer) {
-            Some(reason) => self.turn_away(now, length, reason),
+            Some(reason) => self.reject(now, length, reason),
             None => {
                 self.enqueue(now, length, &offer);
-                self.make_room(now, length);
-                self.decision_after_wait(offer.ticket)
+                self.trim_queue(now, length);
+                self.decision_after_enqueue(offer.ticket)
             }
         }
     }
 
-    /// Appends the final steps that are due. Call after `finish`, `cancel` and `set_capacity`, and
-    /// at `next_wake`.
+    /// Appends the decisions on queued requests that are due. Call it after `finish`, `cancel` and
+    /// `set_capacity`, and at `next_wake`.
     pub fn poll(&mut self, now: Micros, out: &mut Vec<Step>) {
-        self.give_up(now);
-        self.make_room(now, WorkLength::Short);
-        self.make_room(now, WorkLength::Long);
+        self.expire(now);
+        self.trim_queue(now, WorkLength::Short);
+        self.trim_queue(now, WorkLength::Long);
         self.dispatch(now);
         out.append(&mut self.pending);
     }
 
-    /// When `poll` has to be called next, if nothing else happens before. A time in the past means
-    /// at once. Read it after every other call.
+    /// Returns the time at which `poll` has to be called if no other call is made before; a time in
+    /// the past means immediately. Read it after every other call.
     pub fn next_wake(&self) -> Option<Micros> {
         if !self.pending.is_empty() {
             return Some(Micros::ZERO);
         }
-        self.give_ups.first().map(|(at, _)| *at)
+        self.expirations.first().map(|(at, _)| *at)
     }
 
-    /// A request that was started has ended; `latency` counts from its start.
+    /// Records the end of a started request; `latency` is the time since its start.
     pub fn finish(&mut self, now: Micros, ticket: Ticket, outcome: Outcome, latency: Micros) {
         let in_flight = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
         let Some(running) = self.stop(ticket) else { return };
         match outcome {
             Outcome::Answered => {
                 let excess = self.classes.get(running.class).latency.observe(now, latency);
-                self.lane_mut(running.length).answered(latency);
-                self.limit.answered(now, excess, in_flight);
+                self.lane_mut(running.length).observe_latency(latency);
+                self.limit.record_answer(now, excess, in_flight);
             }
-            Outcome::Shed | Outcome::TimedOut => self.limit.refused(now, in_flight),
+            Outcome::Shed | Outcome::TimedOut => self.limit.record_failure(now, in_flight),
             Outcome::FastFailure | Outcome::Failure | Outcome::Cancelled => {}
         }
     }
 
-    /// The caller went away while its request waited or ran. No step follows for it.
+    /// Removes a request whose caller disconnected while it was queued or running. No decision
+    /// follows for it.
     pub fn cancel(&mut self, now: Micros, ticket: Ticket) {
         self.stop(ticket);
-        self.withdraw(now, ticket);
+        self.remove_queued(now, ticket);
         self.pending.retain(|step| step.ticket() != ticket);
     }
 
-    /// The load to tell peers for the choice of addresses: requests let in since the last call, of
-    /// each workspace at most twice the mean of all. What was turned away makes no work, and what a
-    /// workspace has beyond the others makes room for them.
+    /// Returns the load to report to peers, which use it to choose the addresses given to callers:
+    /// the number of requests admitted since the last call, counting at most twice the mean of all
+    /// workspaces for each.
+    ///
+    /// Rejected requests cause no work, and requests of a workspace above the others yield to
+    /// theirs.
     pub fn take_load(&mut self) -> f64 {
-        self.own_load.take()
+        self.admitted_load.take()
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests waiting.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
-        self.places.len()
+        self.queued.len()
     }
 
-    /// Whether a request may start without waiting: something to ask before a hedge, which takes a
-    /// slot from nobody then.
+    /// Returns whether a request may start without waiting. Checked before a hedge, which then
+    /// takes no slot from another request.
     pub fn has_room(&self) -> bool {
-        self.places.is_empty() && self.running.len() < self.limit.get() as usize
+        self.queued.is_empty() && self.running.len() < self.limit.get() as usize
     }
 
-    /// The current limit on requests in flight.
+    /// Returns the current limit on requests in flight.
     pub fn limit(&self) -> u32 {
         self.limit.get()
     }
@@ -220,7 +228,7 @@
         }
     }
 
-    /// Slots that requests of the length may take; at least one.
+    /// Returns the number of slots that requests of the length may use; at least one.
     pub(super) fn slots(&self, length: WorkLength) -> u32 {
         match length {
             WorkLength::Long if self.classes.are_mixed() => self.known_share(self.cfg.long_share),
@@ -228,7 +236,7 @@
         }
     }
 
-    /// A part of the slots that the balancer knows of; at least one.
+    /// Returns a fraction of the slots known to the balancer; at least one.
     fn known_share(&self, share: f64) -> u32 {
         ((f64::from(self.limit.known_slots()) * share) as u32).max(1)
     }
@@ -239,17 +247,18 @@
         is_free && is_within && (length == WorkLength::Short || self.leaves_reserve())
     }
 
-    /// Whether long work may start without taking the slots that are kept free for short work.
+    /// Returns whether long work may start without taking the slots reserved for short work.
     fn leaves_reserve(&self) -> bool {
-        let is_off = self.cfg.short_reserve == 0.0 || !self.classes.are_mixed();
-        if is_off || self.long.in_flight < self.long_floor() {
+        let is_disabled = self.cfg.short_reserve == 0.0 || !self.classes.are_mixed();
+        if is_disabled || self.long.in_flight < self.long_floor() {
             return true;
         }
         let reserved = self.known_share(self.cfg.short_reserve) as usize;
         self.running.len() + reserved < self.limit.known_slots() as usize
     }
 
-    /// Requests of long work that may be in flight whatever short work needs; at least one.
+    /// Returns the number of long requests that may be in flight regardless of short work; at least
+    /// one.
     fn long_floor(&self) -> u32 {
         (f64::from(self.limit.get()) * self.cfg.long_floor).ceil() as u32
     }
@@ -265,7 +274,8 @@
         Some(running)
     }
 
-    pub(super) fn shared(&self, workspace: WorkspaceIndex) -> WorkspaceIndex {
+    /// Returns the index of the queue that holds the requests of a workspace.
+    pub(super) fn queue_index(&self, workspace: WorkspaceIndex) -> WorkspaceIndex {
         if self.cfg.fair_shares { workspace } else { WorkspaceIndex(0) }
     }
 
@@ -274,18 +284,18 @@
         let mean = class.latency.mean();
         let allowed = class.allowed_wait(self.cfg.min_wait_share);
         let by_target = if self.cfg.early_rejection { now + allowed } else { offer.deadline };
-        let give_up_at = by_target.min(offer.deadline - mean).max(now);
-        let workspace = self.shared(offer.workspace);
+        let expires_at = by_target.min(offer.deadline - mean).max(now);
+        let workspace = self.queue_index(offer.workspace);
         let cost = mean.0.max(1);
-        let waiting = Waiting { ticket: offer.ticket, class: offer.class, cost, give_up_at };
-        self.lane_mut(length).push(now, workspace, waiting);
-        self.places.insert(offer.ticket, Place { length, workspace, give_up_at });
-        self.give_ups.insert((give_up_at, offer.ticket));
+        let req = QueuedRequest { ticket: offer.ticket, class: offer.class, cost, expires_at };
+        self.lane_mut(length).push(now, workspace, req);
+        self.queued.insert(offer.ticket, QueueEntry { length, workspace, expires_at });
+        self.expirations.insert((expires_at, offer.ticket));
     }
 
-    /// The decision about a request that was just queued: it may have been the one that had to
-    /// make room.
-    fn decision_after_wait(&mut self, ticket: Ticket) -> Decision {
+    /// Returns the decision on a request that was just queued: it may itself have been rejected
+    /// when the queue was trimmed.
+    fn decision_after_enqueue(&mut self, ticket: Ticket) -> Decision {
         match self.pending.pop_if(|step| step.ticket() == ticket) {
             Some(Step::Reject(_, rejection)) => Decision::Reject(rejection),
             Some(Step::Start(_)) => Decision::Start,
@@ -293,37 +303,39 @@
         }
     }
 
-    /// Takes a waiting ticket out of everything; its lane if it waited.
-    pub(super) fn withdraw(&mut self, now: Micros, ticket: Ticket) -> Option<WorkLength> {
-        let place = self.forget_place(ticket)?;
-        self.lane_mut(place.length).remove(now, place.workspace, ticket);
-        Some(place.length)
+    /// Removes a waiting ticket from all queues and returns its work length; `None` if it was not
+    /// waiting.
+    pub(super) fn remove_queued(&mut self, now: Micros, ticket: Ticket) -> Option<WorkLength> {
+        let entry = self.remove_entry(ticket)?;
+        self.lane_mut(entry.length).remove(now, entry.workspace, ticket);
+        Some(entry.length)
     }
 
-    pub(super) fn forget_place(&mut self, ticket: Ticket) -> Option<Place> {
-        let place = self.places.remove(&ticket)?;
-        self.give_ups.remove(&(place.give_up_at, ticket));
-        Some(place)
+    /// Removes the entry of a ticket that has left its queue.
+    pub(super) fn remove_entry(&mut self, ticket: Ticket) -> Option<QueueEntry> {
+        let entry = self.queued.remove(&ticket)?;
+        self.expirations.remove(&(entry.expires_at, ticket));
+        Some(entry)
     }
 
     fn dispatch(&mut self, now: Micros) {
         while let Some(length) = self.next_length() {
-            let Some(waiting) = self.lane_mut(length).pop(now) else { return };
-            self.long_went_last = length == WorkLength::Long;
-            if let Some(place) = self.forget_place(waiting.ticket) {
-                self.own_load.let_in(place.workspace);
+            let Some(req) = self.lane_mut(length).pop(now) else { return };
+            self.was_last_long = length == WorkLength::Long;
+            if let Some(entry) = self.remove_entry(req.ticket) {
+                self.admitted_load.record(entry.workspace);
             }
-            self.start(waiting.ticket, Running { class: waiting.class, length });
-            self.pending.push(Step::Start(waiting.ticket));
-            self.note_wait(now, length);
+            self.start(req.ticket, Running { class: req.class, length });
+            self.pending.push(Step::Start(req.ticket));
+            self.observe_wait(now, length);
         }
     }
 
-    /// The length of work that starts next: short before long, except that long work has a floor,
-    /// up to which the two alternate.
+    /// Returns the length of work that starts next: short before long, except that the two
+    /// alternate while long work is below its floor.
     fn next_length(&self) -> Option<WorkLength> {
         let can_start = |length| !self.lane(length).queue().is_empty() && self.has_slot(length);
-        let long_is_due = self.long.in_flight < self.long_floor() && !self.long_went_last;
+        let long_is_due = self.long.in_flight < self.long_floor() && !self.was_last_long;
         match (can_start(WorkLength::Short), can_start(WorkLength::Long)) {
             (true, true) if long_is_due => Some(WorkLength::Long),
             (true, _) => Some(WorkLength::Short),
--- a/crates/galenapath-policy/src/admission/decision.rs
+++ b/crates/galenapath-policy/src/admission/decision.rs
@@ -1,44 +1,45 @@
-//! What admission answers.
+//! Decisions of admission control.
 
 use super::offer::Ticket;
 use galenapath_protocol::Micros;
 
-/// The answer to an offer.
+/// The decision on a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Send the request to a backend server now.
     Start,
-    /// Keep the request; a [`Step`] follows.
+    /// Keep the request in the queue; a [`Step`] follows.
     Wait,
     /// Answer the caller now; the request was not run.
     Reject(Rejection),
 }
 
-/// Why a request is turned away and when its caller may come back.
+/// Why a request is rejected and when the caller may send it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// The reason.
+    /// Why the request is rejected.
     pub reason: RejectReason,
-    /// Time after which the caller may send the request again, from now.
+    /// Time from now after which the caller may send the request again.
     pub retry_after: Micros,
 }
 
 /// Reason for a rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RejectReason {
-    /// The queue holds as many requests as it may.
+    /// The queue is full.
     QueueFull,
-    /// The predicted wait leaves too little time for the class's target or the caller's deadline.
+    /// The predicted wait is too long for the class's target or the caller's deadline.
     WontMeetTarget,
     /// The caller's deadline has passed.
     DeadlinePassed,
-    /// The workspace holds more than its share of a full queue.
+    /// The workspace has more than its share of the queued requests while requests have to be
+    /// rejected.
     OverShare,
-    /// The instance is leaving and takes no new requests.
+    /// The instance is draining and accepts no new requests.
     Draining,
 }
 
-/// The final step of a request that waited.
+/// The final decision on a request that was queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Send the request to a backend server now.
@@ -48,7 +49,7 @@
 }
 
 impl Step {
-    /// The request that the step is about.
+    /// Returns the ticket of the request.
     pub fn ticket(&self) -> Ticket {
         match self {
             Self::Start(ticket) | Self::Reject(ticket, _) => *ticket,
--- a/crates/galenapath-policy/src/admission/lane.rs
+++ b/crates/galenapath-policy/src/admission/lane.rs
@@ -1,90 +1,95 @@
-//! The requests of one work length: their queue, their drain rate and whether they are overloaded.
+//! The requests of one work length: their queue, drain rate and overload state.
 
 use super::drain::DrainRate;
-use super::fair_queue::{FairQueue, Waiting};
+use super::fair_queue::{FairQueue, QueuedRequest};
 use super::offer::{Ticket, WorkspaceIndex};
-use super::overload::Overload;
+use super::overload::OverloadDetector;
 use galenapath_protocol::Micros;
 
-/// Waiting and running requests of one work length.
+/// Queued and running requests of one work length.
 #[derive(Clone, Debug, Default)]
 pub struct Lane {
     queue: FairQueue,
     drain: DrainRate,
-    /// Requests of the lane in flight.
+    /// Number of the lane's requests in flight.
     pub in_flight: u32,
-    /// Running mean of the lane's latencies, in microseconds; zero while unknown.
-    mean: f64,
-    overload: Overload,
+    /// Moving average of the lane's latencies in microseconds; zero while unknown.
+    mean_micros: f64,
+    overload: OverloadDetector,
 }
 
 impl Lane {
-    /// Weight of one latency in the running mean.
+    /// Weight of one latency in the moving average.
     const MEAN_WEIGHT: f64 = 1.0 / 32.0;
 
-    /// The queue, to look at.
+    /// Returns the queue for reading.
     pub fn queue(&self) -> &FairQueue {
         &self.queue
     }
 
-    /// Appends a request.
-    pub fn push(&mut self, now: Micros, workspace: WorkspaceIndex, waiting: Waiting) {
+    /// Appends a request to the queue.
+    pub fn push(&mut self, now: Micros, workspace: WorkspaceIndex, req: QueuedRequest) {
         if self.queue.is_empty() {
             self.drain.set_busy(now, true);
         }
-        self.queue.push(workspace, waiting);
+        self.queue.push(workspace, req);
     }
 
-    /// Takes out the request that starts next.
-    pub fn pop(&mut self, now: Micros) -> Option<Waiting> {
-        let waiting = self.queue.pop()?;
-        self.drain.left(now);
+    /// Removes the request that starts next.
+    pub fn pop(&mut self, now: Micros) -> Option<QueuedRequest> {
+        let req = self.queue.pop()?;
+        self.drain.record_departure(now);
         self.after_removal(now);
-        Some(waiting)
+        Some(req)
     }
 
-    /// Takes out the newest request of `workspace`, which will not start.
-    pub fn take_newest(&mut self, now: Micros, workspace: WorkspaceIndex) -> Option<Waiting> {
-        let waiting = self.queue.take_newest(workspace)?;
+    /// Removes the newest request of `workspace`, which is not started.
+    pub fn remove_newest(
+        &mut self,
+        now: Micros,
+        workspace: WorkspaceIndex,
+    ) -> Option<QueuedRequest> {
+        let req = self.queue.remove_newest(workspace)?;
         self.after_removal(now);
-        Some(waiting)
+        Some(req)
     }
 
-    /// Takes out a request by its ticket, which will not start.
+    /// Removes a request by its ticket, which is not started.
     pub fn remove(
         &mut self,
         now: Micros,
         workspace: WorkspaceIndex,
         ticket: Ticket,
-    ) -> Option<Waiting> {
-        let waiting = self.queue.remove(workspace, ticket)?;
+    ) -> Option<QueuedRequest> {
+        let req = self.queue.remove(workspace, ticket)?;
         self.after_removal(now);
-        Some(waiting)
+        Some(req)
     }
 
-    /// A request of the lane was answered.
-    pub fn answered(&mut self, latency: Micros) {
+    /// Records the latency of an answered request.
+    pub fn observe_latency(&mut self, latency: Micros) {
         let x = latency.0 as f64;
-        let weight = if self.mean == 0.0 { 1.0 } else { Self::MEAN_WEIGHT };
-        self.mean += (x - self.mean) * weight;
+        let weight = if self.mean_micros == 0.0 { 1.0 } else { Self::MEAN_WEIGHT };
+        self.mean_micros += (x - self.mean_micros) * weight;
     }
 
-    /// Whether the lane is overloaded, see [`Overload`].
+    /// Returns whether the lane is overloaded, see [`OverloadDetector`].
     pub fn is_overloaded(&self) -> bool {
-        self.overload.is_on()
+        self.overload.is_overloaded()
     }
 
-    /// Notes whether the predicted wait for the whole queue exceeds the short allowance.
-    pub fn note_wait(&mut self, now: Micros, is_long: bool, after: Micros) {
-        self.overload.note(now, is_long, after);
+    /// Records whether the predicted wait for the whole queue exceeds the overload limit;
+    /// `interval` as in [`OverloadDetector::observe`].
+    pub fn observe_wait(&mut self, now: Micros, is_above: bool, interval: Micros) {
+        self.overload.observe(now, is_above, interval);
     }
 
-    /// Requests per microsecond that leave the queue for `slots` slots.
+    /// Returns the requests per microsecond that leave the queue for `slots` slots.
     pub fn drain_rate(&self, now: Micros, slots: u32) -> f64 {
-        self.drain.per_micro(now, slots, Micros(self.mean as u64))
+        self.drain.per_micro(now, slots, Micros(self.mean_micros as u64))
     }
 
-    /// Time until `position` requests have left the queue.
+    /// Returns the predicted time until `position` requests have left the queue.
     pub fn wait(&self, now: Micros, position: usize, slots: u32) -> Micros {
         Micros((position as f64 / self.drain_rate(now, slots)) as u64)
     }
--- a/crates/galenapath-policy/src/admission/mod.rs
+++ b/crates/galenapath-policy/src/admission/mod.rs
@@ -1,5 +1,6 @@
-//! What is let in, what waits and for how long, and what is turned away.
+//! Admission control: which requests start, which wait and for how long, and which are rejected.
 
+mod admitted_load;
 mod classes;
 mod config;
 mod controller;
@@ -11,10 +12,9 @@
 mod limit;
 mod offer;
 mod overload;
-mod own_load;
 mod recent;
-mod returns;
-mod turn_away;
+mod rejection;
+mod retry_after;
 mod workspaces;
 
 pub use config::{AdmissionConfig, LimitConfig, LimitRule};
--- a/crates/galenapath-policy/src/admission/offer.rs
+++ b/crates/galenapath-policy/src/admission/offer.rs
@@ -1,19 +1,19 @@
-//! What the instance tells admission about a request and its class.
+//! The input of admission control: requests, classes and workspaces.
 
 use galenapath_protocol::Micros;
 
-/// The instance's number of a request, unique while the request lives.
+/// Number that the instance assigns to a request, unique among the requests in progress.
 pub type Ticket = u64;
 
-/// Index of a class, as the instance numbers its classes.
+/// Index of a class, assigned by the instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassIndex(pub u32);
 
-/// Dense index of a workspace, given by [`Admission::workspace`](super::Admission::workspace).
+/// Dense index of a workspace, assigned by [`Admission::workspace`](super::Admission::workspace).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkspaceIndex(pub u32);
 
-/// How long the work of a class occupies a slot, compared with the other classes of the service.
+/// How long requests of a class occupy a slot, relative to the other classes of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WorkLength {
     /// Lookups and filings.
@@ -22,26 +22,26 @@
     Long,
 }
 
-/// What admission has to know about a class.
+/// Policy of a request class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassPolicy {
-    /// The class that this policy is for.
+    /// The class that the policy applies to.
     pub class: ClassIndex,
-    /// Whether its work is short or long.
+    /// Whether requests of the class are short or long work.
     pub length: WorkLength,
-    /// Time within which a request of the class is to be answered, from its arrival.
+    /// Latency target of the class, counted from the arrival of a request.
     pub target: Micros,
 }
 
-/// A request that asks to be let in.
+/// A request offered for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Offer {
-    /// The instance's number of the request.
+    /// Identifies the request in later calls.
     pub ticket: Ticket,
     /// The request's class.
     pub class: ClassIndex,
     /// The workspace that the caller belongs to.
     pub workspace: WorkspaceIndex,
-    /// The moment after which the caller has no use for an answer.
+    /// Time by which the caller gives up.
     pub deadline: Micros,
 }
--- a/crates/galenapath-policy/src/admission/overload.rs
+++ b/crates/galenapath-policy/src/admission/overload.rs
@@ -1,43 +1,45 @@
-//! Whether a queue is the mark of a burst or of a lasting overload.
+//! Distinguishes a lasting overload from a burst.
 //!
 //! Load pattern: more load than capacity, for longer than a burst. Arrivals then fill the queue up
-//! to whatever is allowed, and everybody who is let in waits for the whole allowance without one
-//! request more being served. A burst, on the other hand, needs the whole allowance, and so does
-//! a small service at normal load, where a queue of a few requests stands for tens of milliseconds
-//! by chance. As in CoDel, the sign of overload is a wait that never falls below a small part of
-//! the allowance for a whole interval.
+//! to its limit, and every admitted request waits for the whole allowed wait although no more
+//! requests are served than with a short queue. A burst, on the other hand, needs the whole allowed
+//! wait, and so does a small service at normal load, where a queue of a few requests can by chance
+//! last for tens of milliseconds. As in CoDel, an overload is detected when the wait does not fall
+//! below a small fraction of the allowed wait for a whole interval.
 //!
-//! The interval is short beside the allowance, so that a queue is cut before it has filled that, and long beside a
-//! burst that drains by itself.
+//! The interval is shorter than the allowed wait, so that the queue is cut before it has grown to
+//! that, and longer than a burst that drains by itself.
 
 use galenapath_protocol::Micros;
 
 /// Detects a lasting overload from the predicted wait of a queue.
 #[derive(Clone, Debug, Default)]
-pub struct Overload {
-    /// Since when the wait has been long without a break; none while it is short.
-    long_since: Option<Micros>,
-    /// When the wait was last long.
-    long_at: Micros,
-    /// Set once the wait has been long for the interval, unset once it has been short for as long.
-    on: bool,
+pub struct OverloadDetector {
+    /// Start of the current period with a wait above the limit; `None` while it is below.
+    above_since: Option<Micros>,
+    /// Last time at which the wait was above the limit.
+    last_above: Micros,
+    /// Set once the wait has been above the limit for the interval, cleared once it has been below
+    /// for as long.
+    is_overloaded: bool,
 }
 
-impl Overload {
-    /// Whether there is an overload.
-    pub fn is_on(&self) -> bool {
-        self.on
+impl OverloadDetector {
+    /// Returns whether there is a lasting overload.
+    pub fn is_overloaded(&self) -> bool {
+        self.is_overloaded
     }
 
-    /// Notes at `now` whether the wait is long; `interval` is how long it has to stay so.
-    pub fn note(&mut self, now: Micros, is_long: bool, interval: Micros) {
-        if is_long {
-            self.long_at = now;
-            let since = *self.long_since.get_or_insert(now);
-            self.on |= now - since >= interval;
+    /// Records whether the wait is above the limit at `now`. The state changes after the wait has
+    /// stayed above or below for `interval`.
+    pub fn observe(&mut self, now: Micros, is_above: bool, interval: Micros) {
+        if is_above {
+            self.last_above = now;
+            let since = *self.above_since.get_or_insert(now);
+            self.is_overloaded |= now - since >= interval;
         } else {
-            self.long_since = None;
-            self.on &= now - self.long_at < interval;
+            self.above_since = None;
+            self.is_overloaded &= now - self.last_above < interval;
         }
     }
 }
--- a/crates/galenapath-policy/src/admission/recent.rs
+++ b/crates/galenapath-policy/src/admission/recent.rs
@@ -1,18 +1,19 @@
-//! The least or greatest value of the last minutes.
+//! Minimum or maximum of the values of the last minutes.
 
 use galenapath_protocol::Micros;
 
-/// The extreme of the values of the last five to ten minutes, in two spans.
+/// Minimum or maximum of the values of the last five to ten minutes, kept in two spans.
 ///
-/// Forgotten after that, so that a service that has changed for good is judged by what it is now.
-/// Not sooner, because an overload that lasts longer would pass for the normal state.
+/// Older values are dropped, so that a service that has changed permanently is compared with its
+/// current state. They are not dropped sooner, because an overload that lasts longer than the spans
+/// is taken for the normal state.
 #[derive(Clone, Debug)]
 pub struct RecentExtreme {
-    /// The better of two values: `f64::min` or `f64::max`.
-    better: fn(f64, f64) -> f64,
-    /// Extreme of the span that runs.
+    /// `f64::min` or `f64::max`.
+    select: fn(f64, f64) -> f64,
+    /// Extreme of the current span.
     current: Option<f64>,
-    /// Extreme of the span before.
+    /// Extreme of the previous span.
     previous: Option<f64>,
     span_started: Micros,
 }
@@ -20,33 +21,33 @@
 impl RecentExtreme {
     const SPAN: Micros = Micros::from_secs(300);
 
-    /// Follows the least value.
-    pub fn least() -> Self {
+    /// Creates a tracker of the minimum.
+    pub fn min() -> Self {
         Self::new(f64::min)
     }
 
-    /// Follows the greatest value.
-    pub fn greatest() -> Self {
+    /// Creates a tracker of the maximum.
+    pub fn max() -> Self {
         Self::new(f64::max)
     }
 
-    fn new(better: fn(f64, f64) -> f64) -> Self {
-        Self { better, current: None, previous: None, span_started: Micros::ZERO }
+    fn new(select: fn(f64, f64) -> f64) -> Self {
+        Self { select, current: None, previous: None, span_started: Micros::ZERO }
     }
 
-    /// Takes in a value.
-    pub fn note(&mut self, now: Micros, x: f64) {
+    /// Adds a value.
+    pub fn observe(&mut self, now: Micros, x: f64) {
         if now - self.span_started >= Self::SPAN {
             self.previous = self.current.take();
             self.span_started = now;
         }
-        self.current = Some(self.current.map_or(x, |best| (self.better)(best, x)));
+        self.current = Some(self.current.map_or(x, |extreme| (self.select)(extreme, x)));
     }
 
-    /// The extreme; none before the first value.
+    /// Returns the extreme; `None` before the first value.
     pub fn get(&self) -> Option<f64> {
         match (self.current, self.previous) {
-            (Some(a), Some(b)) => Some((self.better)(a, b)),
+            (Some(a), Some(b)) => Some((self.select)(a, b)),
             (a, b) => a.or(b),
         }
     }
@@ -57,7 +58,7 @@
         self.previous = self.previous.map(|x| x * factor);
     }
 
-    /// Forgets all values.
+    /// Drops all values.
     pub fn clear(&mut self) {
         (self.current, self.previous) = (None, None);
     }
--- a/crates/galenapath-policy/src/admission/turn_away.rs
+++ b/crates/galenapath-policy/src/admission/rejection.rs
@@ -1,9 +1,9 @@
-//! Which requests are turned away, and when.
+//! Which requests are rejected, and when.
 //!
-//! Load pattern: a lasting overload, a burst longer than the targets allow, and a few workspaces with
-//! most of the load. A request is turned away when it comes if its predicted wait leaves too little
-//! of its target or deadline, and later if the prediction turns out wrong. In an overload those
-//! over their share of the queue are turned away first.
+//! Load pattern: a lasting overload, a burst longer than the targets allow, or a few workspaces
+//! with most of the load. A request is rejected on arrival if its predicted wait leaves too little
+//! of its target or deadline, and later if the prediction was wrong. In an overload, requests of
+//! workspaces over their share of the queue are rejected first.
 
 use super::controller::Admission;
 use super::decision::{Decision, RejectReason, Rejection, Step};
@@ -11,15 +11,15 @@
 use galenapath_protocol::Micros;
 
 impl Admission {
-    /// Tells the lane whether its queue waits longer than the short allowance.
-    pub(super) fn note_wait(&mut self, now: Micros, length: WorkLength) {
+    /// Updates the overload state of the lane with the predicted wait of its queue.
+    pub(super) fn observe_wait(&mut self, now: Micros, length: WorkLength) {
         let allowed = self.classes.longest_wait(length, self.cfg.min_wait_share);
-        let short = allowed.0 as f64 * self.cfg.overload_wait_share * self.cfg.prediction_margin;
+        let limit = allowed.0 as f64 * self.cfg.overload_wait_share * self.cfg.prediction_margin;
         let lane = self.lane(length);
         let wait = lane.wait(now, lane.queue().len() + 1, self.slots(length));
-        let is_long = !lane.queue().is_empty() && wait.0 as f64 > short;
-        let after = self.cfg.overload_after;
-        self.lane_mut(length).note_wait(now, is_long, after);
+        let is_above = !lane.queue().is_empty() && wait.0 as f64 > limit;
+        let interval = self.cfg.overload_after;
+        self.lane_mut(length).observe_wait(now, is_above, interval);
     }
 
     pub(super) fn reason_to_reject(
@@ -28,7 +28,7 @@
         length: WorkLength,
         offer: &Offer,
     ) -> Option<RejectReason> {
-        let workspace = self.shared(offer.workspace);
+        let workspace = self.queue_index(offer.workspace);
         let is_over_share = self.is_over_share(length, workspace);
         let is_full = self.lane(length).queue().len() >= self.cfg.max_waiting;
         if is_full && is_over_share {
@@ -37,8 +37,8 @@
         if !self.cfg.early_rejection {
             return None;
         }
-        let is_short = is_over_share && self.lane(length).is_overloaded();
-        let share = if is_short { self.cfg.overload_wait_share } else { 1.0 };
+        let is_restricted = is_over_share && self.lane(length).is_overloaded();
+        let share = if is_restricted { self.cfg.overload_wait_share } else { 1.0 };
         let class = self.classes.get(offer.class);
         let mean = class.latency.mean();
         let allowed = class.allowed_wait(self.cfg.min_wait_share);
@@ -51,31 +51,34 @@
         if !is_late || lane.queue().is_empty() {
             return None;
         }
-        let over = is_over_share && lane.queue().active() > 1;
-        Some(if over { RejectReason::OverShare } else { RejectReason::WontMeetTarget })
+        let is_over_others = is_over_share && lane.queue().active() > 1;
+        Some(if is_over_others { RejectReason::OverShare } else { RejectReason::WontMeetTarget })
     }
 
-    /// Whether the workspace would have as many waiting as any other, or has at least an even share
-    /// of what waits. One request beside a workspace with several is never too much: in a short
-    /// queue it would be an even share.
+    /// Returns whether the workspace, with one more request, would have at least as many queued
+    /// requests as any other workspace, or already has at least an even share of the queued
+    /// requests.
+    ///
+    /// The second condition does not apply to a workspace with a single queued request: in a short
+    /// queue one request is an even share, even if another workspace has several.
     fn is_over_share(&self, length: WorkLength, workspace: WorkspaceIndex) -> bool {
         let queue = self.lane(length).queue();
         let own = queue.len_of(workspace);
-        let most = queue.heaviest().map_or(0, |heaviest| queue.len_of(heaviest));
-        own + 1 >= most || (own > 1 && own * queue.active() >= queue.len())
+        let max = queue.largest().map_or(0, |largest| queue.len_of(largest));
+        own + 1 >= max || (own > 1 && own * queue.active() >= queue.len())
     }
 
-    /// Rejects what waits beyond the bounds: of the workspace that has most waiting, the request
-    /// that came last.
-    pub(super) fn make_room(&mut self, now: Micros, length: WorkLength) {
+    /// Rejects queued requests until the queue is within its bounds, each time the newest request
+    /// of the workspace with the most queued requests.
+    pub(super) fn trim_queue(&mut self, now: Micros, length: WorkLength) {
         while self.is_overfull(now, length) {
-            let Some(workspace) = self.lane(length).queue().heaviest() else { return };
-            let shared = self.lane(length).queue().active() > 1;
-            let Some(waiting) = self.lane_mut(length).take_newest(now, workspace) else { return };
+            let Some(workspace) = self.lane(length).queue().largest() else { return };
+            let has_others = self.lane(length).queue().active() > 1;
+            let Some(req) = self.lane_mut(length).remove_newest(now, workspace) else { return };
             let reason =
-                if shared { RejectReason::OverShare } else { RejectReason::WontMeetTarget };
-            self.forget_place(waiting.ticket);
-            self.push_rejection(now, length, waiting.ticket, reason);
+                if has_others { RejectReason::OverShare } else { RejectReason::WontMeetTarget };
+            self.remove_entry(req.ticket);
+            self.push_rejection(now, length, req.ticket, reason);
         }
     }
 
@@ -94,22 +97,23 @@
         self.lane(length).wait(now, len, self.slots(length)) > allowed
     }
 
-    pub(super) fn give_up(&mut self, now: Micros) {
-        while let Some((at, ticket)) = self.give_ups.first().copied() {
+    /// Rejects the queued requests whose time to wait has expired.
+    pub(super) fn expire(&mut self, now: Micros) {
+        while let Some((at, ticket)) = self.expirations.first().copied() {
             if at > now {
                 return;
             }
-            let length = self.withdraw(now, ticket).unwrap_or(WorkLength::Short);
+            let length = self.remove_queued(now, ticket).unwrap_or(WorkLength::Short);
             self.push_rejection(now, length, ticket, RejectReason::WontMeetTarget);
         }
     }
 
     fn rejection(&mut self, now: Micros, length: WorkLength, reason: RejectReason) -> Rejection {
         let rate = self.lane(length).drain_rate(now, self.slots(length));
-        Rejection { reason, retry_after: self.returns.book(now, rate) }
+        Rejection { reason, retry_after: self.retries.reserve(now, rate) }
     }
 
-    pub(super) fn turn_away(
+    pub(super) fn reject(
         &mut self,
         now: Micros,
         length: WorkLength,
--- a/crates/galenapath-policy/src/admission/workspaces.rs
+++ b/crates/galenapath-policy/src/admission/workspaces.rs
@@ -1,29 +1,30 @@
-//! The workspaces that are told apart.
+//! Mapping of workspace names to indices.
 
 use super::offer::WorkspaceIndex;
 use galenapath_protocol::FastMap;
 
-/// Index shared by the workspaces beyond the bound.
+/// Index shared by all workspaces beyond the maximum number.
 const SHARED: WorkspaceIndex = WorkspaceIndex(0);
 
 /// Dense indices for a bounded number of workspace names.
 ///
-/// Bounded, because the name comes with the request: without a bound a caller who invents names
-/// fills the memory. Those beyond it share one queue, and one share.
+/// The number is bounded because the name comes with the request: without a bound, a caller that
+/// makes up names could exhaust the memory. Workspaces beyond the bound share one queue and one
+/// fair share.
 #[derive(Clone, Debug)]
 pub struct WorkspaceTable {
     indices: FastMap<Box<str>, WorkspaceIndex>,
-    /// Most indices, the shared one included.
+    /// Maximum number of indices, including the shared one.
     max: usize,
 }
 
 impl WorkspaceTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(max: usize) -> Self {
         Self { indices: FastMap::default(), max }
     }
 
-    /// The index of `name`.
+    /// Returns the index of `name`, and assigns one if it is new.
     pub fn index(&mut self, name: &str) -> WorkspaceIndex {
         if let Some(index) = self.indices.get(name) {
             return *index;
--- a/crates/galenapath-policy/src/lib.rs
+++ b/crates/galenapath-policy/src/lib.rs
@@ -1,7 +1,7 @@
 //! Load-balancing decisions, as pure code without a clock, sockets, threads or global randomness.
 //!
-//! Callers pass the time as [`Micros`](galenapath_protocol::Micros) and randomness as seeds, so that
-//! every decision can be replayed.
+//! Callers pass the time as [`Micros`](galenapath_protocol::Micros) and randomness as seeds, so
+//! that every decision can be replayed.
 //!
 //! - [`admission`]: which requests start, wait in a queue or are rejected.
 //! - [`balance`]: which backend server a request is sent to.
--- a/crates/galenapath-policy/src/lines.rs
+++ b/crates/galenapath-policy/src/lines.rs
@@ -1,9 +1,9 @@
 //! Limits the number of log lines written per second.
 //!
-//! Load pattern: more requests per second than the processor can log or an operator can read. The log
-//! is read mainly for failures, so successful requests have a separate budget: with a shared one, 200
-//! successful answers in a second left no line for a failure in the same second. Failures are bounded
-//! too, because a burst of rejections would write a thousand lines per second.
+//! Load pattern: more requests per second than the processor can log or an operator can read. The
+//! log is read mainly for failures, so successful requests have a separate budget: with a shared
+//! one, 200 successful answers in a second left no line for a failure in the same second. Failures
+//! are bounded too, because a burst of rejections would write a thousand lines per second.
 
 use galenapath_protocol::Micros;
 
@@ -19,8 +19,8 @@
     Good,
     /// A request that failed, was rejected or was late.
     Failure,
-    /// A state change of a peer instance. Every instance logs it, and hundreds of instances may join or
-    /// leave at the same moment.
+    /// A state change of a peer instance. Every instance logs it, and hundreds of instances may
+    /// join or leave at the same moment.
     Peer,
 }
 
--- a/crates/galenapath-policy/src/quantile.rs
+++ b/crates/galenapath-policy/src/quantile.rs
@@ -2,10 +2,10 @@
 
 /// Estimates one quantile of a stream of positive values by stochastic approximation.
 ///
-/// A larger value raises the estimate by a step times the quantile, any other value lowers it by the
-/// step times one minus the quantile. The two balance where the given share of the values lies below
-/// the estimate. The step is a fixed fraction of the estimate, so that a change of the distribution is
-/// followed within a few hundred values.
+/// A larger value raises the estimate by a step times the quantile, any other value lowers it by
+/// the step times one minus the quantile. The two balance where the given share of the values lies
+/// below the estimate. The step is a fixed fraction of the estimate, so that a change of the
+/// distribution is followed within a few hundred values.
 #[derive(Clone, Debug)]
 pub struct QuantileEstimate {
     /// The estimated quantile; above 0, below 1.
--- a/crates/galenapath-policy/src/retry/attempts.rs
+++ b/crates/galenapath-policy/src/retry/attempts.rs
@@ -4,8 +4,8 @@
 /// Number of attempts made on one call along the call chain, as known at one level of it.
 ///
 /// A request carries the number of attempts so far; an answer carries the highest number that any
-/// downstream level has reached. A level that merges both does not retry when the levels below it have
-/// used up the attempts.
+/// downstream level has reached. A level that merges both does not retry when the levels below it
+/// have used up the attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptCount {
     /// Known attempts, including the running one. At least one.
--- a/crates/galenapath-policy/src/retry/budget.rs
+++ b/crates/galenapath-policy/src/retry/budget.rs
@@ -1,8 +1,8 @@
 //! Limits the retries and hedges that an instance sends to a service.
 //!
-//! Load pattern: a fault or an overload makes a large part of the requests fail. Without a budget every
-//! failed request is retried, which doubles or triples the load while capacity is short, and keeps the
-//! load high after the cause is gone.
+//! Load pattern: a fault or an overload makes a large part of the requests fail. Without a budget
+//! every failed request is retried, which doubles or triples the load while capacity is short, and
+//! keeps the load high after the cause is gone.
 
 use galenapath_protocol::Micros;
 
@@ -23,11 +23,12 @@
     }
 }
 
-/// How long part of the budget stays reserved for repeated requests after one of them needed a retry.
+/// How long part of the budget stays reserved for repeated requests after one of them needed a
+/// retry.
 const RESERVATION_TIME: Micros = Micros::from_secs(2);
 
-/// Fraction of the burst that is reserved for repeated requests. A retry of a request that the caller
-/// sent for the first time is worth less, because the caller may still send it again.
+/// Fraction of the burst that is reserved for repeated requests. A retry of a request that the
+/// caller sent for the first time is worth less, because the caller may still send it again.
 const RESERVED_FRACTION: f64 = 0.5;
 
 /// Whether the caller sends a request for the first time or again.
@@ -39,7 +40,8 @@
     Last,
 }
 
-/// Token bucket for the retries of one service, filled by first attempts and at a small constant rate.
+/// Token bucket for the retries of one service, filled by first attempts and at a small constant
+/// rate.
 pub struct RetryBudget {
     cfg: RetryConfig,
     /// Retries that may be sent now, from 0 to `cfg.burst`.
--- a/crates/galenapath-policy/src/retry/hedge.rs
+++ b/crates/galenapath-policy/src/retry/hedge.rs
@@ -1,13 +1,13 @@
 //! When a lookup is hedged: sent to a second backend server before the first has answered.
 //!
-//! Load pattern: one slow backend server among healthy ones. Without hedging, each lookup that was sent
-//! to it before the balancer detected the slowness has to wait for it. Hedges are taken from the retry
-//! budget, so that they do not slow down a service that is already slow. They are only sent while
-//! admission has free slots ([`Admission::has_room`](crate::Admission::has_room)), because in an overload
-//! each hedge would take the slot of a first attempt.
+//! Load pattern: one slow backend server among healthy ones. Without hedging, each lookup that was
+//! sent to it before the balancer detected the slowness has to wait for it. Hedges are taken from
+//! the retry budget, so that they do not slow down a service that is already slow. They are only
+//! sent while admission has free slots ([`Admission::has_room`](crate::Admission::has_room)),
+//! because in an overload each hedge would take the slot of a first attempt.
 //!
-//! The delay is the 95th percentile of the latency: one lookup in twenty is then sent twice. This uses
-//! half of the retry budget and leaves the other half for retries.
+//! The delay is the 95th percentile of the latency: one lookup in twenty is then sent twice. This
+//! uses half of the retry budget and leaves the other half for retries.
 
 use super::budget::RetryBudget;
 use super::rule::RequestKind;
@@ -44,8 +44,8 @@
         Self { cfg, latency }
     }
 
-    /// Records the latency of an answer. The latency of a send that was cancelled is recorded too, up to
-    /// the time at which the other send was answered.
+    /// Records the latency of an answer. The latency of a send that was cancelled is recorded too,
+    /// up to the time at which the other send was answered.
     pub fn observe(&mut self, latency: Micros) {
         self.latency.observe(latency.0 as f64);
     }
@@ -57,8 +57,8 @@
         (is_lookup && self.latency.samples() >= self.cfg.min_samples).then_some(delay)
     }
 
-    /// Returns whether the hedge may be sent now: the delay has passed, the deadline has not, and the
-    /// retry budget allows it. If so, the hedge is taken from the budget.
+    /// Returns whether the hedge may be sent now: the delay has passed, the deadline has not, and
+    /// the retry budget allows it. If so, the hedge is taken from the budget.
     pub fn try_hedge(
         &self,
         now: Micros,
--- a/crates/galenapath-policy/src/retry/rule.rs
+++ b/crates/galenapath-policy/src/retry/rule.rs
@@ -1,17 +1,18 @@
 //! Whether a failed request may be retried.
 //!
-//! Load pattern: a service that fails or sheds load, called through chains of up to 11 levels. Without
-//! this rule each level retries what the level below it has already retried: three attempts on 11
-//! levels turn one request into 3^11 = 177,147. The attempt count is therefore sent with the request
-//! and returned with the answer (see [`AttemptCount`](super::AttemptCount)), and the rule limits the
-//! attempts of the whole chain.
+//! Load pattern: a service that fails or sheds load, called through chains of up to 11 levels.
+//! Without this rule each level retries what the level below it has already retried: three attempts
+//! on 11 levels turn one request into 3^11 = 177,147. The attempt count is therefore sent with the
+//! request and returned with the answer (see [`AttemptCount`](super::AttemptCount)), and the rule
+//! limits the attempts of the whole chain.
 
 use galenapath_protocol::{Micros, Verdict};
 
 /// Maximum number of attempts on one call over the whole chain, including the first.
 ///
-/// Three, because the second attempt goes to another backend server, which covers the fault of a single
-/// server, and the third covers a second fault at the same time. Further attempts only add load.
+/// Three, because the second attempt goes to another backend server, which covers the fault of a
+/// single server, and the third covers a second fault at the same time. Further attempts only add
+/// load.
 pub const MAX_ATTEMPTS: u32 = 3;
 
 /// Minimum remaining deadline for another attempt; with less, the answer would be too late.
@@ -30,8 +31,8 @@
 
 /// Returns whether a request that ended with `verdict` may be retried.
 ///
-/// `attempt` is the number of attempts made so far over the whole chain, `remaining` the time until the
-/// caller's deadline. The retry budget has to allow the retry as well.
+/// `attempt` is the number of attempts made so far over the whole chain, `remaining` the time until
+/// the caller's deadline. The retry budget has to allow the retry as well.
 pub fn may_retry(kind: RequestKind, verdict: Verdict, attempt: u32, remaining: Micros) -> bool {
     if attempt >= MAX_ATTEMPTS || remaining < MIN_REMAINING {
         return false;
--- a/crates/galenapath-policy/src/retry/shared_budget.rs
+++ b/crates/galenapath-policy/src/retry/shared_budget.rs
@@ -1,12 +1,13 @@
 //! Splits the retry budget of a service between the instances that send to it.
 //!
 //! Load pattern: the servers of a service reject half of their requests although they have free
-//! capacity. Each retry is then as likely to succeed as the first attempt, and the retry budget limits
-//! how many requests are served. An even split over a fixed number of instances leaves most of the
-//! budget with instances that get no requests. At 1,000 requests per second for eight seconds, with 55
-//! of 100 sends rejected and each caller sending a failed request once more, five instances served 76.5
-//! of 100 requests with the even split, 78.7 with a split by each instance's share of the requests, and
-//! 83.4 when part of the budget is also reserved for repeated requests (tests/shedding.rs).
+//! capacity. Each retry is then as likely to succeed as the first attempt, and the retry budget
+//! limits how many requests are served. An even split over a fixed number of instances leaves most
+//! of the budget with instances that get no requests. At 1,000 requests per second for eight
+//! seconds, with 55 of 100 sends rejected and each caller sending a failed request once more, five
+//! instances served 76.5 of 100 requests with the even split, 78.7 with a split by each instance's
+//! share of the requests, and 83.4 when part of the budget is also reserved for repeated requests
+//! (tests/shedding.rs).
 
 use super::budget::RetryConfig;
 use galenapath_protocol::Micros;
@@ -18,8 +19,9 @@
 /// Fraction of the slack that is granted at a constant rate over the window.
 const STEADY_SLACK: f64 = 0.3;
 
-/// Fraction of the slack that may be spent at once. Together with [`STEADY_SLACK`] this is half of the
-/// slack, because instances know each other's share of the requests only to within a factor of two.
+/// Fraction of the slack that may be spent at once. Together with [`STEADY_SLACK`] this is half of
+/// the slack, because instances know each other's share of the requests only to within a factor of
+/// two.
 const BURST_SLACK: f64 = 0.2;
 
 /// Lower bound of an instance's burst, in retries.
