--- a/crates/galenapath-policy/tests/admission.rs
+++ b/crates/galenapath-policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Invariants of admission under any order of calls.
+//! Invariants of admission for arbitrary sequences of calls.
 
 use galenapath_policy::{
     Admission, AdmissionConfig, ClassIndex, ClassPolicy, Decision, Offer, Outcome, RejectReason,
@@ -19,11 +19,11 @@
 
 #[derive(Clone, Debug)]
 enum Call {
-    Offer { workspace: u8, long: bool, patience_ms: u64 },
+    Offer { workspace: u8, long: bool, timeout_ms: u64 },
     Finish { nth: usize, outcome: Outcome, latency_us: u64 },
     Cancel { nth: usize },
-    Capacity(u32),
-    Pass { us: u64 },
+    SetCapacity(u32),
+    Advance { us: u64 },
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -40,16 +40,16 @@
 fn call() -> impl Strategy<Value = Call> {
     prop_oneof![
         8 => (0..5_u8, any::<bool>(), 0..200_u64)
-            .prop_map(|(workspace, long, patience_ms)| Call::Offer { workspace, long, patience_ms }),
+            .prop_map(|(workspace, long, timeout_ms)| Call::Offer { workspace, long, timeout_ms }),
         5 => (any::<usize>(), outcome(), 1..300_000_u64)
             .prop_map(|(nth, outcome, latency_us)| Call::Finish { nth, outcome, latency_us }),
         1 => any::<usize>().prop_map(|nth| Call::Cancel { nth }),
-        1 => (0..20_u32).prop_map(Call::Capacity),
-        4 => (0..20_000_u64).prop_map(|us| Call::Pass { us }),
+        1 => (0..20_u32).prop_map(Call::SetCapacity),
+        4 => (0..20_000_u64).prop_map(|us| Call::Advance { us }),
     ]
 }
 
-/// Admission and what its callers know about each ticket.
+/// Admission and the state of each ticket as its user knows it.
 struct Model {
     admission: Admission,
     now: Micros,
@@ -68,19 +68,22 @@
     }
 
     fn apply(&mut self, call: Call) {
-        // Some offers are followed by other calls before the next poll.
-        let polled = !matches!(call, Call::Offer { workspace: 0, .. });
+        // After some offers other calls are made before the next poll.
+        let is_polled = !matches!(call, Call::Offer { workspace: 0, .. });
         match call {
-            Call::Offer { workspace, long, patience_ms } => {
-                self.offer(workspace, if long { LONG } else { SHORT }, patience_ms);
+            Call::Offer { workspace, long, timeout_ms } => {
+                self.offer(workspace, if long { LONG } else { SHORT }, timeout_ms);
             }
             Call::Finish { nth, outcome, latency_us } => self.finish(nth, outcome, latency_us),
             Call::Cancel { nth } => self.cancel(nth),
-            Call::Capacity(slots) => self.admission.set_capacity(self.now, slots),
-            Call::Pass { us } => self.now = self.now + Micros(us),
+            Call::SetCapacity(slots) => self.admission.set_capacity(self.now, slots),
+            Call::Advance { us } => self.now = self.now + Micros(us),
         }
-        assert!(self.admission.waiting() <= 2 * MAX_WAITING, "bounded for each work length");
-        if !polled {
+        assert!(
+            self.admission.waiting() <= 2 * MAX_WAITING,
+            "queue of a work length over its bound"
+        );
+        if !is_polled {
             return;
         }
         self.poll();
@@ -88,11 +91,11 @@
         assert_eq!(self.admission.in_flight(), self.running.len());
     }
 
-    fn offer(&mut self, workspace: u8, class: ClassPolicy, patience_ms: u64) {
+    fn offer(&mut self, workspace: u8, class: ClassPolicy, timeout_ms: u64) {
         let ticket = self.next;
         self.next += 1;
         let workspace = self.admission.workspace(&workspace.to_string());
-        let deadline = self.now + Micros::from_millis(patience_ms);
+        let deadline = self.now + Micros::from_millis(timeout_ms);
         let offer = Offer { ticket, class: class.class, workspace, deadline };
         match self.admission.offer(self.now, offer) {
             Decision::Start => self.start(ticket),
@@ -124,7 +127,7 @@
         let mut steps = Vec::new();
         self.admission.poll(self.now, &mut steps);
         for step in steps {
-            assert!(self.waiting.remove(&step.ticket()), "one final step for each ticket");
+            assert!(self.waiting.remove(&step.ticket()), "more than one decision for a ticket");
             if let Step::Start(ticket) = step {
                 self.start(ticket);
             }
@@ -145,7 +148,7 @@
         for call in calls {
             model.apply(call);
         }
-        // Nothing starves and nothing is left behind: what waits ends without further offers.
+        // Every queued request is decided on without further offers.
         for _ in 0..2 * MAX_WAITING + 64 {
             model.apply(Call::Finish { nth: 0, outcome: Outcome::Answered, latency_us: 1_000 });
         }
@@ -160,7 +163,7 @@
         for call in calls {
             model.apply(call);
         }
-        // Nothing finishes any more: the wakes alone tell everybody who waits.
+        // No request finishes any more, so that all queued requests are decided on at wake times.
         while let Some(at) = model.admission.next_wake() {
             model.now = model.now.max(at);
             model.poll();
@@ -177,7 +180,7 @@
     let deadline = Micros::from_secs(1);
     let offer = Offer { ticket: 1, class: SHORT.class, workspace, deadline };
     let Decision::Reject(rejection) = model.admission.offer(Micros::ZERO, offer) else {
-        panic!("let in while draining");
+        panic!("admitted while draining");
     };
     assert_eq!(rejection.reason, RejectReason::Draining);
 }
@@ -188,7 +191,7 @@
     let mut admission = Admission::new(cfg, 1);
     let mut index = |name: &str| admission.workspace(name);
     let known = [index("a"), index("b"), index("c")];
-    assert_eq!(index("d"), index("e"), "the rest share one");
+    assert_eq!(index("d"), index("e"), "names beyond the bound share an index");
     assert_eq!([index("a"), index("b"), index("c")], known);
 }
 
@@ -204,7 +207,7 @@
     assert_eq!(model.admission.take_load(), 0.0);
 }
 
-/// Starts per work length in a service whose queue holds both all the time.
+/// Counts starts per work length while requests of both lengths are always queued.
 #[test]
 fn long_work_not_starved() {
     for slots in [1, 2, 8] {
--- a/crates/galenapath-policy/tests/lines.rs
+++ b/crates/galenapath-policy/tests/lines.rs
@@ -1,18 +1,18 @@
-//! Which log lines are written when there are too many.
+//! Limits on log lines per second.
 
 use galenapath_policy::{LineBudget, LineKind};
 use galenapath_protocol::Micros;
 
 const START: Micros = Micros::from_secs(5);
 
-/// Lines written of `offered` in one second.
+/// Returns how many of `offered` lines in one second are written.
 fn written(budget: &mut LineBudget, offered: u64, kind: LineKind) -> usize {
     let at = |n: u64| START + Micros(n * 900_000 / offered);
     (0..offered).filter(|n| budget.take(at(*n), kind)).count()
 }
 
 #[test]
-fn take_failures_beside_many_good_answers() {
+fn take_failures_beside_many_successes() {
     let mut budget = LineBudget::new(20);
     assert_eq!(written(&mut budget, 5_000, LineKind::Good), 20);
     assert_eq!(written(&mut budget, 150, LineKind::Failure), 150);
@@ -23,13 +23,13 @@
     let mut budget = LineBudget::new(20);
     assert_eq!(written(&mut budget, 2_000, LineKind::Failure), 200);
     assert_eq!(written(&mut budget, 2_000, LineKind::Good), 20);
-    // The next second has room again.
+    // The budgets are full again in the next second.
     assert!(budget.take(START + Micros::from_secs(2), LineKind::Failure));
     assert!(budget.take(START + Micros::from_secs(2), LineKind::Good));
 }
 
 #[test]
-fn take_instances_bounded_beside_failures() {
+fn take_peer_lines_bounded_beside_failures() {
     let mut budget = LineBudget::new(20);
     assert_eq!(written(&mut budget, 300, LineKind::Peer), 20);
     assert_eq!(written(&mut budget, 150, LineKind::Failure), 150);
--- a/crates/galenapath-policy/tests/overload.rs
+++ b/crates/galenapath-policy/tests/overload.rs
@@ -1,12 +1,14 @@
-//! Patterns of load, and what the callers get: with the mechanism, and with it switched off.
+//! Results of admission under several load patterns, with each mechanism enabled and disabled.
 //!
-//! Each test prints its rows, which docs/MEASUREMENTS.md takes over.
+//! The tests print rows for the tables in docs/MEASUREMENTS.md.
 
 mod support;
 
 use galenapath_policy::LimitRule;
 use galenapath_protocol::Micros;
-use support::{CAPACITY, Change, End, LOOKUP, Report, Sim, TRANSFER, World, lookups, transfers};
+use support::{
+    CAPACITY, Change, End, LOOKUP, Report, Sim, SimConfig, TRANSFER, lookups, transfers,
+};
 
 const TARGET_MS: f64 = LOOKUP.target.as_millis_f64();
 
@@ -20,15 +22,15 @@
     report
 }
 
-/// 70% load, 150% from the first to the third second, and 70% again.
-fn saturation(change: impl FnOnce(&mut World)) -> Sim {
-    let mut world = World::new(1);
+/// 70% load, 150% between the first and the third second, then 70% again.
+fn saturation(change: impl FnOnce(&mut SimConfig)) -> Sim {
+    let mut cfg = SimConfig::new(1);
     let rates = [(0, 0.7), (1_000, 1.5), (3_000, 0.7)];
     let rates = rates.map(|(at, load)| (ms(at), load * CAPACITY)).to_vec();
-    world.streams = vec![lookups("a", rates)];
-    world.until = ms(5_000);
-    change(&mut world);
-    world.run()
+    cfg.streams = vec![lookups("a", rates)];
+    cfg.until = ms(5_000);
+    change(&mut cfg);
+    cfg.run()
 }
 
 #[test]
@@ -37,12 +39,12 @@
     let report = row(&sim, "saturation 150%", &[0], ms(1_000), ms(3_000));
     assert!(report.goodput >= 0.95 * CAPACITY);
     assert!(report.latency(0.99) <= TARGET_MS);
-    assert!(report.rejection(0.99) <= 1.0, "the rejected are told at once");
+    assert!(report.rejection(0.99) <= 1.0, "rejections are sent at once");
 }
 
 #[test]
 fn saturation_sixteen_dispatchers() {
-    let sim = saturation(|world| world.instances = 16);
+    let sim = saturation(|cfg| cfg.instances = 16);
     let report = row(&sim, "saturation 150%, 16 dispatchers", &[0], ms(1_000), ms(3_000));
     assert!(report.goodput >= 0.95 * CAPACITY);
     assert!(report.latency(0.99) <= TARGET_MS);
@@ -50,7 +52,7 @@
 
 #[test]
 fn saturation_without_early_rejection() {
-    let sim = saturation(|world| world.cfg.early_rejection = false);
+    let sim = saturation(|cfg| cfg.admission.early_rejection = false);
     let report = row(&sim, "saturation, no early rejection", &[0], ms(1_000), ms(3_000));
     assert!(report.goodput < 0.6 * CAPACITY);
     assert!(report.latency(0.99) > TARGET_MS);
@@ -58,59 +60,60 @@
 
 #[test]
 fn saturation_with_fixed_limit() {
-    let sim = saturation(|world| world.cfg.limit.rule = LimitRule::Fixed);
+    let sim = saturation(|cfg| cfg.admission.limit.rule = LimitRule::Fixed);
     let report = row(&sim, "saturation, fixed limit", &[0], ms(1_000), ms(3_000));
     assert!(report.goodput < 0.95 * CAPACITY);
 }
 
 #[test]
 fn saturation_without_short_standing_queue() {
-    let sim = saturation(|world| world.cfg.overload_wait_share = 1.0);
+    let sim = saturation(|cfg| cfg.admission.overload_wait_share = 1.0);
     let report = row(&sim, "saturation, long standing queue", &[0], ms(1_500), ms(3_000));
-    assert!(report.latency(0.5) > 20.0, "everybody waits for the whole allowance");
+    assert!(report.latency(0.5) > 20.0, "requests wait for the whole allowed wait");
 }
 
 #[test]
 fn recovery_within_a_second() {
-    let sim = saturation(|world| world.streams[0].returns = 2);
+    let sim = saturation(|cfg| cfg.streams[0].caller_retries = 2);
     let first = row(&sim, "recovery, first second", &[0], ms(3_000), ms(4_000));
     let second = row(&sim, "recovery, second second", &[0], ms(4_000), ms(5_000));
     assert!(first.goodput >= 0.7 * CAPACITY * 0.95);
-    assert!(second.goodput >= second.offered as f64 * 0.95, "those who come back are served too");
+    assert!(second.goodput >= second.offered as f64 * 0.95, "retries are served too");
 }
 
 #[test]
 fn recovery_without_early_rejection() {
-    let sim = saturation(|world| {
-        world.streams[0].returns = 2;
-        world.cfg.early_rejection = false;
-        world.cfg.max_waiting = usize::MAX;
+    let sim = saturation(|cfg| {
+        cfg.streams[0].caller_retries = 2;
+        cfg.admission.early_rejection = false;
+        cfg.admission.max_waiting = usize::MAX;
     });
     let first = row(&sim, "recovery, no early rejection", &[0], ms(3_000), ms(4_000));
-    assert!(first.goodput < 0.1 * CAPACITY, "a backlog of requests that are all late");
+    assert!(first.goodput < 0.1 * CAPACITY, "the backlog holds only late requests");
 }
 
 #[test]
 fn recovery_without_return_schedule() {
-    let scheduled = saturation(|world| world.streams[0].returns = 2);
-    let unscheduled = saturation(|world| {
-        world.streams[0].returns = 2;
-        world.cfg.max_retry_after = world.cfg.min_retry_after;
+    let with_schedule = saturation(|cfg| cfg.streams[0].caller_retries = 2);
+    let without_schedule = saturation(|cfg| {
+        cfg.streams[0].caller_retries = 2;
+        cfg.admission.max_retry_after = cfg.admission.min_retry_after;
     });
-    let with = row(&scheduled, "returns scheduled", &[0], ms(1_000), ms(3_000));
-    let without = row(&unscheduled, "returns after 20 ms", &[0], ms(1_000), ms(3_000));
+    let with = row(&with_schedule, "returns scheduled", &[0], ms(1_000), ms(3_000));
+    let without = row(&without_schedule, "returns after 20 ms", &[0], ms(1_000), ms(3_000));
     assert!(without.rejections.len() > 2 * with.rejections.len());
 }
 
-/// Ten workspaces with half of the load, and one that adds `heavy` times the capacity.
+/// Ten workspaces that together use half of the capacity, and one that adds `heavy` times the
+/// capacity.
 fn heavy_workspace(heavy: f64, fair_shares: bool) -> Sim {
     let names = ["w0", "w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8", "w9"];
-    let mut world = World::new(3);
-    world.cfg.fair_shares = fair_shares;
-    world.until = ms(3_000);
-    world.streams = names.map(|name| lookups(name, vec![(ms(0), 0.05 * CAPACITY)])).to_vec();
-    world.streams.push(lookups("heavy", vec![(ms(0), 0.0), (ms(500), heavy * CAPACITY)]));
-    world.run()
+    let mut cfg = SimConfig::new(3);
+    cfg.admission.fair_shares = fair_shares;
+    cfg.until = ms(3_000);
+    cfg.streams = names.map(|name| lookups(name, vec![(ms(0), 0.05 * CAPACITY)])).to_vec();
+    cfg.streams.push(lookups("heavy", vec![(ms(0), 0.0), (ms(500), heavy * CAPACITY)]));
+    cfg.run()
 }
 
 const OTHERS: &[usize] = &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9];
@@ -124,7 +127,7 @@
     let heavy = row(&beside, "the heavy workspace", &[10], ms(1_000), ms(3_000));
     assert!(others.latency(0.99) <= 1.2 * alone.latency(0.99));
     assert!(others.rejections.len() * 100 <= others.offered);
-    assert!(heavy.goodput >= 0.4 * CAPACITY, "what the others leave is used");
+    assert!(heavy.goodput >= 0.4 * CAPACITY, "the heavy workspace uses the remaining capacity");
 }
 
 #[test]
@@ -137,10 +140,10 @@
 #[test]
 fn burst_absorbed() {
     let base = 0.7 * CAPACITY;
-    let mut world = World::new(3);
+    let mut cfg = SimConfig::new(3);
     let bursts = (5..15).flat_map(|i| [(ms(i * 100), 5.0 * base), (ms(i * 100 + 5), base)]);
-    world.streams = vec![lookups("a", [(ms(0), base)].into_iter().chain(bursts).collect())];
-    let sim = world.run();
+    cfg.streams = vec![lookups("a", [(ms(0), base)].into_iter().chain(bursts).collect())];
+    let sim = cfg.run();
     let report = row(&sim, "ten bursts, x5 for 5 ms", &[0], ms(500), ms(1_500));
     assert!(report.goodput >= report.offered as f64 * 0.99);
     assert!(report.latency(0.99) <= TARGET_MS);
@@ -148,12 +151,12 @@
 
 #[test]
 fn capacity_halved_and_back() {
-    let mut world = World::new(3);
-    world.until = ms(3_000);
-    world.streams = vec![lookups("a", vec![(ms(0), 0.8 * CAPACITY)])];
+    let mut cfg = SimConfig::new(3);
+    cfg.until = ms(3_000);
+    cfg.streams = vec![lookups("a", vec![(ms(0), 0.8 * CAPACITY)])];
     let change = |at, factor| Change { at: ms(at), servers: 20, factor };
-    world.changes = vec![change(1_000, 2.0), change(2_000, 1.0)];
-    let sim = world.run();
+    cfg.changes = vec![change(1_000, 2.0), change(2_000, 1.0)];
+    let sim = cfg.run();
     row(&sim, "work takes twice as long, first 300 ms", &[0], ms(1_000), ms(1_300));
     let low = row(&sim, "work takes twice as long, then", &[0], ms(1_300), ms(2_000));
     let back = row(&sim, "back to normal, first second", &[0], ms(2_000), ms(3_000));
@@ -161,27 +164,28 @@
     assert!(back.goodput >= 0.95 * 0.8 * CAPACITY);
 }
 
-/// Twelve of twenty backend servers leave for good at 90% load, with what is left at 225%.
+/// Twelve of twenty backend servers are lost permanently at 90% load, so that the load is 225% of
+/// the remaining capacity.
 #[test]
 fn servers_lost_latency_kept() {
-    let mut world = World::new(7);
-    world.until = ms(4_000);
-    world.streams = vec![lookups("a", vec![(ms(0), 0.9 * CAPACITY)])];
-    world.changes = vec![Change { at: ms(2_000), servers: 12, factor: f64::INFINITY }];
-    let sim = world.run();
+    let mut cfg = SimConfig::new(7);
+    cfg.until = ms(4_000);
+    cfg.streams = vec![lookups("a", vec![(ms(0), 0.9 * CAPACITY)])];
+    cfg.changes = vec![Change { at: ms(2_000), servers: 12, factor: f64::INFINITY }];
+    let sim = cfg.run();
     row(&sim, "12 of 20 servers lost, first 500 ms", &[0], ms(2_000), ms(2_500));
     let report = row(&sim, "12 of 20 servers lost, then", &[0], ms(2_500), ms(4_000));
     assert!(report.goodput >= 0.95 * 0.4 * CAPACITY);
-    assert!(report.latency(0.5) <= 15.0, "no queue at the servers that are left");
+    assert!(report.latency(0.5) <= 15.0, "no queue at the remaining servers");
 }
 
-/// Two backend servers behind four instances, with the same load from the start.
+/// Two backend servers behind four instances, with a constant load.
 fn small_service(load: f64) -> Report {
-    let mut world = World::new(7);
-    world.servers = 2;
-    world.until = ms(10_000);
-    world.streams = vec![lookups("a", vec![(ms(0), load * CAPACITY / 10.0)])];
-    let sim = world.run();
+    let mut cfg = SimConfig::new(7);
+    cfg.servers = 2;
+    cfg.until = ms(10_000);
+    cfg.streams = vec![lookups("a", vec![(ms(0), load * CAPACITY / 10.0)])];
+    let sim = cfg.run();
     row(&sim, &format!("small service at load {load}"), &[0], ms(2_000), ms(10_000))
 }
 
@@ -199,13 +203,14 @@
     assert!(report.latency(0.99) <= TARGET_MS);
 }
 
-/// Backend servers with a third of their slots, and instances that know nothing of each other.
+/// Backend servers with a third of the usual slots, and instances that do not know each other's
+/// requests.
 fn overstated_capacity(rule: LimitRule, server_queue: usize) -> (Report, usize) {
-    let mut world = World::new(5);
-    (world.slots, world.server_queue, world.blind) = (2, server_queue, true);
-    world.cfg.limit.rule = rule;
-    world.streams = vec![lookups("a", vec![(ms(0), 0.25 * CAPACITY), (ms(500), 0.5 * CAPACITY)])];
-    let sim = world.run();
+    let mut cfg = SimConfig::new(5);
+    (cfg.slots, cfg.server_queue, cfg.ignores_server_load) = (2, server_queue, true);
+    cfg.admission.limit.rule = rule;
+    cfg.streams = vec![lookups("a", vec![(ms(0), 0.25 * CAPACITY), (ms(500), 0.5 * CAPACITY)])];
+    let sim = cfg.run();
     let bound = if server_queue == usize::MAX { "endless" } else { "short" };
     let name = format!("overstated slots, {rule:?} limit, {bound} server queues");
     let report = row(&sim, &name, &[0], ms(1_000), ms(2_000));
@@ -227,16 +232,16 @@
     assert!(adaptive.goodput > 2.0 * fixed.goodput);
 }
 
-/// Lookups for 40% of the slots and transfers for all of them.
+/// Lookups that need 40% of the slots, and transfers that need all of them.
 fn long_among_short(instances: usize, short_reserve: f64, long_share: f64) -> Sim {
-    let mut world = World::new(3);
-    world.instances = instances;
-    (world.cfg.short_reserve, world.cfg.long_share) = (short_reserve, long_share);
-    world.caller_patience = ms(3_000);
-    world.until = ms(4_000);
+    let mut cfg = SimConfig::new(3);
+    cfg.instances = instances;
+    (cfg.admission.short_reserve, cfg.admission.long_share) = (short_reserve, long_share);
+    cfg.caller_timeout = ms(3_000);
+    cfg.until = ms(4_000);
     let short = lookups("a", vec![(ms(0), 0.4 * CAPACITY)]);
-    world.streams = vec![short, transfers("b", CAPACITY / 40.0)];
-    world.run()
+    cfg.streams = vec![short, transfers("b", CAPACITY / 40.0)];
+    cfg.run()
 }
 
 #[test]
@@ -247,7 +252,7 @@
     println!("{}", long.row("long among short: long"));
     assert!(short.goodput >= 0.95 * 0.4 * CAPACITY);
     assert!(short.latency(0.99) <= TARGET_MS);
-    assert!(long.goodput >= 0.3 * CAPACITY / 40.0, "long work still gets its part");
+    assert!(long.goodput >= 0.3 * CAPACITY / 40.0, "long work still gets its share");
 }
 
 #[test]
--- a/crates/galenapath-policy/tests/retry.rs
+++ b/crates/galenapath-policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! What is sent a second time, and how much of it.
+//! Which requests are retried or hedged, and how many.
 
 use galenapath_policy::{
     AttemptCount, HedgeConfig, HedgePolicy, MAX_ATTEMPTS, RequestKind, RetryBudget, RetryConfig,
@@ -8,20 +8,20 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-const PLENTY: Micros = Micros::from_secs(1);
+const ONE_SECOND: Micros = Micros::from_secs(1);
 const KINDS: [RequestKind; 3] = [RequestKind::Lookup, RequestKind::Filing, RequestKind::Transfer];
 
 #[test]
 fn may_retry_filing_never_after_may_have_run() {
     for attempt in 0..=MAX_ATTEMPTS {
-        assert!(!may_retry(RequestKind::Filing, Verdict::MayHaveRun, attempt, PLENTY));
+        assert!(!may_retry(RequestKind::Filing, Verdict::MayHaveRun, attempt, ONE_SECOND));
     }
-    assert!(may_retry(RequestKind::Filing, Verdict::NotRun, 1, PLENTY));
+    assert!(may_retry(RequestKind::Filing, Verdict::NotRun, 1, ONE_SECOND));
 }
 
 #[test]
 fn may_retry_never_after_an_answer() {
-    assert!(KINDS.iter().all(|kind| !may_retry(*kind, Verdict::Answered, 1, PLENTY)));
+    assert!(KINDS.iter().all(|kind| !may_retry(*kind, Verdict::Answered, 1, ONE_SECOND)));
 }
 
 #[test]
@@ -29,19 +29,20 @@
     assert!(KINDS.iter().all(|kind| !may_retry(*kind, Verdict::NotRun, 1, Micros(10))));
 }
 
-/// Requests that reach the bottom of a chain in which every call fails without running.
-fn amplification(depth: u32, count: &mut AttemptCount, carried: bool) -> u32 {
+/// Returns the number of requests that reach the last level of a chain in which every call fails
+/// without running. `is_carried` is whether the attempt count is passed along the chain.
+fn amplification(depth: u32, count: &mut AttemptCount, is_carried: bool) -> u32 {
     if depth == 0 {
         return 1;
     }
     let mut reached = 0;
     loop {
-        let mut below = AttemptCount::received(if carried { count.made() } else { 1 });
-        reached += amplification(depth - 1, &mut below, carried);
-        if carried {
+        let mut below = AttemptCount::received(if is_carried { count.made() } else { 1 });
+        reached += amplification(depth - 1, &mut below, is_carried);
+        if is_carried {
             count.reported(below.made());
         }
-        if !may_retry(RequestKind::Lookup, Verdict::NotRun, count.made(), PLENTY) {
+        if !may_retry(RequestKind::Lookup, Verdict::NotRun, count.made(), ONE_SECOND) {
             return reached;
         }
         count.again();
@@ -84,8 +85,8 @@
     assert!(at_once <= 1);
 }
 
-/// A hedge policy that has seen latencies of 1 to 100 ms, each as often.
-fn trained() -> HedgePolicy {
+/// A hedge policy that has observed uniformly distributed latencies of 1 to 100 ms.
+fn trained_policy() -> HedgePolicy {
     let mut hedge = HedgePolicy::new(HedgeConfig::default());
     for i in 0..20_000_u64 {
         hedge.observe(Micros::from_millis(i * 37 % 100 + 1));
@@ -95,7 +96,7 @@
 
 #[test]
 fn hedge_after_the_quantile_for_lookups_only() {
-    let hedge = trained();
+    let hedge = trained_policy();
     let delay = hedge.delay(RequestKind::Lookup).unwrap();
     assert!((85..=100).contains(&(delay.0 / 1_000)), "{delay:?}");
     assert_eq!(hedge.delay(RequestKind::Filing), None);
@@ -104,11 +105,13 @@
 
 #[test]
 fn hedge_inside_the_retry_budget() {
-    let hedge = trained();
+    let hedge = trained_policy();
     let mut budget = RetryBudget::new(RetryConfig { floor_per_second: 2.0, ..Default::default() });
     let now = Micros::from_millis(200);
     let sent = (0..10)
-        .filter(|_| hedge.try_hedge(now, Micros::ZERO, PLENTY, RequestKind::Lookup, &mut budget))
+        .filter(|_| {
+            hedge.try_hedge(now, Micros::ZERO, ONE_SECOND, RequestKind::Lookup, &mut budget)
+        })
         .count();
     assert_eq!(sent, 2);
 }
@@ -119,8 +122,8 @@
     assert_eq!(hedge.delay(RequestKind::Lookup), None);
 }
 
-/// Latencies in ms of lookups of which one in twenty meets a straggler ten times as slow, and the
-/// share that was sent twice.
+/// Simulates lookups of which one in twenty is sent to a server ten times as slow. Returns their
+/// sorted latencies in milliseconds and the share of hedged lookups.
 fn straggler_latencies(hedged: bool) -> (Vec<f64>, f64) {
     let mut rng = StdRng::seed_from_u64(11);
     let mut draw = || {
@@ -129,24 +132,30 @@
     };
     let mut policy = HedgePolicy::new(HedgeConfig::default());
     let mut budget = RetryBudget::new(RetryConfig::default());
-    let mut sent_twice = 0;
+    let mut hedges = 0;
     let mut latencies = Vec::new();
     for i in 0..100_000_u64 {
         let started = Micros(i * 100);
         budget.first_try(started);
         let (first, second) = (draw(), draw());
-        let delay = policy.delay(RequestKind::Lookup).filter(|_| hedged).unwrap_or(PLENTY);
+        let delay = policy.delay(RequestKind::Lookup).filter(|_| hedged).unwrap_or(ONE_SECOND);
         let at = started + delay;
         let slow = first > delay.as_millis_f64();
         let is_sent = slow
-            && policy.try_hedge(at, started, started + PLENTY, RequestKind::Lookup, &mut budget);
-        sent_twice += u32::from(is_sent);
+            && policy.try_hedge(
+                at,
+                started,
+                started + ONE_SECOND,
+                RequestKind::Lookup,
+                &mut budget,
+            );
+        hedges += u32::from(is_sent);
         let other = if is_sent { delay.as_millis_f64() + second } else { f64::MAX };
         latencies.push(first.min(other));
         policy.observe(Micros((first.min(other) * 1_000.0) as u64));
     }
     latencies.sort_unstable_by(f64::total_cmp);
-    (latencies, f64::from(sent_twice) / 100_000.0)
+    (latencies, f64::from(hedges) / 100_000.0)
 }
 
 #[test]
@@ -154,7 +163,7 @@
     let (plain, _) = straggler_latencies(false);
     let (hedged, share) = straggler_latencies(true);
     println!(
-        "p99 {:.1} -> {:.1} ms, p99.9 {:.1} -> {:.1} ms, sent twice {:.1}%",
+        "p99 {:.1} -> {:.1} ms, p99.9 {:.1} -> {:.1} ms, hedged {:.1}%",
         plain[99_000],
         hedged[99_000],
         plain[99_900],
--- a/crates/galenapath-policy/tests/support/mod.rs
+++ b/crates/galenapath-policy/tests/support/mod.rs
@@ -1,12 +1,12 @@
-//! A queue per backend server in virtual time, fed through the admission code that ships.
-#![allow(dead_code, unused_imports)] // each test file uses a part
+//! Discrete-event simulation of backend servers behind the production admission code.
+#![allow(dead_code, unused_imports)] // each test file uses only some of the items
 
 mod report;
 mod sim;
 mod streams;
 
 pub use report::Report;
-pub use sim::{Change, End, Record, Sim, Stream, Work, World};
+pub use sim::{Change, End, Record, Sim, SimConfig, Stream, Work};
 pub use streams::{lookups, transfers};
 
 use galenapath_policy::{ClassIndex, ClassPolicy, WorkLength};
--- a/crates/galenapath-policy/tests/support/report.rs
+++ b/crates/galenapath-policy/tests/support/report.rs
@@ -1,36 +1,36 @@
-//! What the callers of a simulation got.
+//! Results of a simulation from the callers' point of view.
 
 use super::sim::{End, Record, Sim};
 use galenapath_protocol::Micros;
 
-/// Results of the requests that arrived in a span of time, of one stream or of all.
+/// Results of the requests of some streams that arrived in a period of time.
 pub struct Report {
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub offered: usize,
-    /// Requests answered within the class's target, per second of the span.
+    /// Requests answered within the latency target, per second.
     pub goodput: f64,
     /// Latencies of the answered requests, in ascending order.
     pub latencies: Vec<Micros>,
-    /// Time that the answered requests waited at the instance, in ascending order.
+    /// Times that the answered requests waited at the instance, in ascending order.
     pub waits: Vec<Micros>,
-    /// Time from arrival to rejection, in ascending order.
+    /// Times from arrival to rejection, in ascending order.
     pub rejections: Vec<Micros>,
-    /// Requests whose caller gave up.
+    /// Number of requests whose caller timed out.
     pub timed_out: usize,
 }
 
 impl Report {
     pub fn of(sim: &Sim, streams: &[usize], target: Micros, from: Micros, to: Micros) -> Self {
-        let inside =
+        let is_included =
             |r: &&Record| r.arrived >= from && r.arrived < to && streams.contains(&r.stream);
-        let records: Vec<&Record> = sim.records.iter().filter(inside).collect();
-        let spans = |pick: fn(&End) -> bool| {
-            let picked = records.iter().filter(|r| pick(&r.end));
-            let mut spans: Vec<Micros> = picked.map(|r| r.ended - r.arrived).collect();
-            spans.sort_unstable();
-            spans
+        let records: Vec<&Record> = sim.records.iter().filter(is_included).collect();
+        let durations = |matches: fn(&End) -> bool| {
+            let selected = records.iter().filter(|r| matches(&r.end));
+            let mut durations: Vec<Micros> = selected.map(|r| r.ended - r.arrived).collect();
+            durations.sort_unstable();
+            durations
         };
-        let latencies = spans(|end| *end == End::Answered);
+        let latencies = durations(|end| *end == End::Answered);
         let answered = records.iter().filter(|r| r.end == End::Answered);
         let started = answered.filter_map(|r| Some(r.started? - r.arrived));
         let mut waits: Vec<Micros> = started.collect();
@@ -39,29 +39,29 @@
         Self {
             offered: records.len(),
             goodput: good as f64 * 1e6 / (to - from).0 as f64,
-            rejections: spans(|end| matches!(end, End::Rejected(_))),
+            rejections: durations(|end| matches!(end, End::Rejected(_))),
             timed_out: records.iter().filter(|r| r.end == End::TimedOut).count(),
             latencies,
             waits,
         }
     }
 
-    /// A quantile of the answered requests' latency, in milliseconds.
+    /// Returns a quantile of the answered requests' latency, in milliseconds.
     pub fn latency(&self, q: f64) -> f64 {
         quantile(&self.latencies, q)
     }
 
-    /// A quantile of the answered requests' wait at the instance, in milliseconds.
+    /// Returns a quantile of the answered requests' wait at the instance, in milliseconds.
     pub fn wait(&self, q: f64) -> f64 {
         quantile(&self.waits, q)
     }
 
-    /// A quantile of the time to rejection, in milliseconds.
+    /// Returns a quantile of the time to rejection, in milliseconds.
     pub fn rejection(&self, q: f64) -> f64 {
         quantile(&self.rejections, q)
     }
 
-    /// The report as one line of a table.
+    /// Formats the report as a row of a Markdown table.
     pub fn row(&self, name: &str) -> String {
         format!(
             "| {name} | {} | {:.0} | {:.1} | {:.1} | {:.1} | {:.1} | {:.1} | {} | {:.2} | {} |",
--- a/crates/galenapath-policy/tests/support/sim.rs
+++ b/crates/galenapath-policy/tests/support/sim.rs
@@ -1,4 +1,4 @@
-//! The simulation: streams of callers, instances with admission, backend servers with slots.
+//! The simulation: request streams, instances with admission, and backend servers with slots.
 
 use galenapath_policy::{
     Admission, AdmissionConfig, ClassPolicy, Decision, Offer, Outcome, RejectReason, Rejection,
@@ -24,12 +24,12 @@
     pub class: ClassPolicy,
     pub work: Work,
     pub rates: Vec<(Micros, f64)>,
-    /// Times that a rejected or timed-out caller asks again.
-    pub returns: u32,
+    /// How often a caller retries a rejected, shed or timed-out request.
+    pub caller_retries: u32,
 }
 
-/// From `at` on, the first `servers` backend servers take `factor` times as long, or get no more
-/// requests if it is infinite.
+/// From `at` on, the first `servers` backend servers take `factor` times as long per request, or
+/// get no more requests if `factor` is infinite.
 #[derive(Clone, Copy)]
 pub struct Change {
     pub at: Micros,
@@ -38,18 +38,18 @@
 }
 
 #[derive(Clone)]
-pub struct World {
+pub struct SimConfig {
     pub instances: usize,
     pub servers: usize,
     pub slots: usize,
-    /// Requests that may wait at a backend server before it sheds.
+    /// Number of requests that may be queued at a backend server before it sheds load.
     pub server_queue: usize,
     pub one_way: Micros,
-    pub caller_patience: Micros,
-    /// Whether instances take all slots for free that they don't use themselves; otherwise they
-    /// know which are.
-    pub blind: bool,
-    pub cfg: AdmissionConfig,
+    pub caller_timeout: Micros,
+    /// Whether instances take every slot that they do not use themselves for free and choose
+    /// servers at random; otherwise they know the load of each server.
+    pub ignores_server_load: bool,
+    pub admission: AdmissionConfig,
     pub streams: Vec<Stream>,
     pub changes: Vec<Change>,
     pub until: Micros,
@@ -72,9 +72,9 @@
     pub ended: Micros,
     pub end: End,
     pub retry_after: Micros,
-    /// When the request was sent to a backend server, if it was.
+    /// Time at which the request was sent to a backend server, if it was.
     pub started: Option<Micros>,
-    returns_left: u32,
+    retries_left: u32,
     instance: usize,
     server: usize,
     /// Whether the instance counts the request as in flight.
@@ -83,17 +83,17 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive { stream: usize, returns_left: u32, again: bool },
+    Arrive { stream: usize, retries_left: u32, is_retry: bool },
     AtServer(usize),
     Done(usize),
     Answer { ticket: usize, shed: bool },
-    Impatient(usize),
+    CallerTimeout(usize),
     Wake(usize),
     Change(usize),
 }
 
 struct Server {
-    /// Requests on the way to it, queued or running.
+    /// Number of requests in transit to it, queued or running.
     assigned: usize,
     queue: VecDeque<usize>,
     running: usize,
@@ -102,31 +102,31 @@
 
 struct Instance {
     admission: Admission,
-    /// Index of each stream's workspace.
+    /// Workspace index of each stream.
     workspaces: Vec<WorkspaceIndex>,
     in_flight: u32,
     wake: Option<Micros>,
 }
 
 pub struct Sim {
-    world: World,
+    cfg: SimConfig,
     rng: StdRng,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     seq: u64,
     now: Micros,
     servers: Vec<Server>,
-    /// Number of the first servers that get no more requests.
-    left: usize,
+    /// The first `removed` servers get no more requests.
+    removed: usize,
     instances: Vec<Instance>,
     pub records: Vec<Record>,
-    /// Slot time used, over all backend servers.
+    /// Total slot time used on all backend servers.
     pub busy: Micros,
     pub max_waiting: usize,
 }
 
-impl World {
-    /// Twenty backend servers with six slots behind the four instances that dispatch for the
-    /// service, without any callers.
+impl SimConfig {
+    /// Twenty backend servers with six slots each behind the four instances that dispatch for the
+    /// service, without request streams.
     pub fn new(seed: u64) -> Self {
         Self {
             instances: 4,
@@ -134,9 +134,9 @@
             slots: 6,
             server_queue: usize::MAX,
             one_way: Micros(500),
-            caller_patience: Micros::from_millis(500),
-            blind: false,
-            cfg: AdmissionConfig::default(),
+            caller_timeout: Micros::from_millis(500),
+            ignores_server_load: false,
+            admission: AdmissionConfig::default(),
             streams: Vec::new(),
             changes: Vec::new(),
             until: Micros::from_secs(2),
@@ -152,45 +152,44 @@
 }
 
 impl Sim {
-    fn new(world: World) -> Self {
-        let classes: Vec<ClassPolicy> = world.streams.iter().map(|s| s.class).collect();
+    fn new(cfg: SimConfig) -> Self {
+        let classes: Vec<ClassPolicy> = cfg.streams.iter().map(|s| s.class).collect();
         let instance = |i: usize| {
-            let mut admission = Admission::new(world.cfg.clone(), world.seed ^ i as u64);
+            let mut admission = Admission::new(cfg.admission.clone(), cfg.seed ^ i as u64);
             admission.set_classes(&classes);
-            let workspaces =
-                world.streams.iter().map(|s| admission.workspace(s.workspace)).collect();
+            let workspaces = cfg.streams.iter().map(|s| admission.workspace(s.workspace)).collect();
             Instance { admission, workspaces, in_flight: 0, wake: None }
         };
         let server = || Server { assigned: 0, queue: VecDeque::new(), running: 0, factor: 1.0 };
         Self {
-            rng: StdRng::seed_from_u64(world.seed),
+            rng: StdRng::seed_from_u64(cfg.seed),
             events: BinaryHeap::new(),
             seq: 0,
             now: Micros::ZERO,
-            servers: (0..world.servers).map(|_| server()).collect(),
-            left: 0,
-            instances: (0..world.instances).map(instance).collect(),
+            servers: (0..cfg.servers).map(|_| server()).collect(),
+            removed: 0,
+            instances: (0..cfg.instances).map(instance).collect(),
             records: Vec::new(),
             busy: Micros::ZERO,
             max_waiting: 0,
-            world,
+            cfg,
         }
     }
 
-    fn at(&mut self, at: Micros, event: Event) {
+    fn schedule(&mut self, at: Micros, event: Event) {
         self.seq += 1;
         self.events.push(Reverse((at, self.seq, event)));
     }
 
     fn run(&mut self) {
-        self.leave(0);
-        for stream in 0..self.world.streams.len() {
+        self.remove_servers(0);
+        for stream in 0..self.cfg.streams.len() {
             self.schedule_arrival(stream, Micros::ZERO);
         }
-        for (i, change) in self.world.changes.clone().iter().enumerate() {
-            self.at(change.at, Event::Change(i));
+        for (i, change) in self.cfg.changes.clone().iter().enumerate() {
+            self.schedule(change.at, Event::Change(i));
         }
-        let last = self.world.until + self.world.caller_patience;
+        let last = self.cfg.until + self.cfg.caller_timeout;
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             if at > last {
                 break;
@@ -206,7 +205,7 @@
     }
 
     fn schedule_arrival(&mut self, stream: usize, from: Micros) {
-        let rates = self.world.streams[stream].rates.clone();
+        let rates = self.cfg.streams[stream].rates.clone();
         let mut t = from;
         loop {
             let rate = rates.iter().rev().find(|r| r.0 <= t).map_or(0.0, |r| r.1);
@@ -215,10 +214,11 @@
             let at = Micros(t.0.saturating_add(gap as u64));
             match next_change {
                 Some(change) if change <= at => t = change,
-                _ if at > self.world.until => return,
+                _ if at > self.cfg.until => return,
                 _ => {
-                    let returns_left = self.world.streams[stream].returns;
-                    return self.at(at, Event::Arrive { stream, returns_left, again: false });
+                    let retries_left = self.cfg.streams[stream].caller_retries;
+                    return self
+                        .schedule(at, Event::Arrive { stream, retries_left, is_retry: false });
                 }
             }
         }
@@ -226,16 +226,16 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive { stream, returns_left, again } => {
-                if !again {
+            Event::Arrive { stream, retries_left, is_retry } => {
+                if !is_retry {
                     self.schedule_arrival(stream, self.now);
                 }
-                self.arrive(stream, returns_left);
+                self.arrive(stream, retries_left);
             }
             Event::AtServer(ticket) => self.at_server(ticket),
             Event::Done(ticket) => self.done(ticket),
             Event::Answer { ticket, shed } => self.answer(ticket, shed),
-            Event::Impatient(ticket) => self.impatient(ticket),
+            Event::CallerTimeout(ticket) => self.time_out(ticket),
             Event::Wake(i) => {
                 if self.instances[i].wake == Some(self.now) {
                     self.instances[i].wake = None;
@@ -243,9 +243,9 @@
                 }
             }
             Event::Change(i) => {
-                let change = self.world.changes[i];
+                let change = self.cfg.changes[i];
                 if change.factor.is_infinite() {
-                    return self.leave(change.servers);
+                    return self.remove_servers(change.servers);
                 }
                 for server in self.servers.iter_mut().take(change.servers) {
                     server.factor = change.factor;
@@ -254,19 +254,19 @@
         }
     }
 
-    /// The first servers get no more requests, and the instances are told.
-    fn leave(&mut self, servers: usize) {
-        self.left = servers;
-        let slots = self.world.slots * (self.servers.len() - servers);
+    /// Stops requests to the first `servers` servers and updates the slot count of the instances.
+    fn remove_servers(&mut self, servers: usize) {
+        self.removed = servers;
+        let slots = self.cfg.slots * (self.servers.len() - servers);
         for instance in &mut self.instances {
             instance.admission.set_service_slots(self.now, slots as u32);
         }
     }
 
-    fn arrive(&mut self, stream: usize, returns_left: u32) {
+    fn arrive(&mut self, stream: usize, retries_left: u32) {
         let i = self.rng.random_range(0..self.instances.len());
         let ticket = self.records.len();
-        let deadline = self.now + self.world.caller_patience;
+        let deadline = self.now + self.cfg.caller_timeout;
         self.records.push(Record {
             stream,
             arrived: self.now,
@@ -274,13 +274,13 @@
             end: End::Unfinished,
             retry_after: Micros::ZERO,
             started: None,
-            returns_left,
+            retries_left,
             instance: i,
             server: 0,
             in_flight: false,
         });
-        self.at(deadline, Event::Impatient(ticket));
-        let class = self.world.streams[stream].class.class;
+        self.schedule(deadline, Event::CallerTimeout(ticket));
+        let class = self.cfg.streams[stream].class.class;
         let workspace = self.instances[i].workspaces[stream];
         let offer = Offer { ticket: ticket as u64, class, workspace, deadline };
         self.set_capacity(i);
@@ -306,66 +306,66 @@
         let wake = self.instances[i].admission.next_wake().map(|at| at.max(self.now + Micros(1)));
         if let Some(at) = wake.filter(|at| self.instances[i].wake != Some(*at)) {
             self.instances[i].wake = Some(at);
-            self.at(at, Event::Wake(i));
+            self.schedule(at, Event::Wake(i));
         }
     }
 
     fn reject(&mut self, ticket: usize, rejection: Rejection) {
         self.records[ticket].retry_after = rejection.retry_after;
         self.end(ticket, End::Rejected(rejection.reason));
-        self.come_back(ticket, rejection.retry_after);
+        self.schedule_retry(ticket, rejection.retry_after);
     }
 
-    fn come_back(&mut self, ticket: usize, after: Micros) {
-        let Record { stream, returns_left, .. } = self.records[ticket];
-        if returns_left > 0 {
-            let event = Event::Arrive { stream, returns_left: returns_left - 1, again: true };
-            self.at(self.now + after, event);
+    fn schedule_retry(&mut self, ticket: usize, after: Micros) {
+        let Record { stream, retries_left, .. } = self.records[ticket];
+        if retries_left > 0 {
+            let event = Event::Arrive { stream, retries_left: retries_left - 1, is_retry: true };
+            self.schedule(self.now + after, event);
         }
     }
 
     fn end(&mut self, ticket: usize, end: End) {
-        assert_eq!(self.records[ticket].end, End::Unfinished, "one final step for each request");
+        assert_eq!(self.records[ticket].end, End::Unfinished, "a request ended twice");
         self.records[ticket].end = end;
         self.records[ticket].ended = self.now;
     }
 
     fn set_capacity(&mut self, i: usize) {
         let instance = &mut self.instances[i];
-        let slots = self.world.slots;
+        let slots = self.cfg.slots;
         let free: usize =
-            self.servers[self.left..].iter().map(|s| slots.saturating_sub(s.assigned)).sum();
-        let free = if self.world.blind { slots * self.servers.len() } else { free };
+            self.servers[self.removed..].iter().map(|s| slots.saturating_sub(s.assigned)).sum();
+        let free = if self.cfg.ignores_server_load { slots * self.servers.len() } else { free };
         instance.admission.set_capacity(self.now, instance.in_flight + free as u32);
     }
 
-    /// Sends a request to a backend server with the fewest assigned, or blindly to any.
+    /// Sends a request to a backend server with the fewest assigned requests, or to a random one.
     fn start(&mut self, ticket: usize) {
-        assert!(self.records[ticket].started.is_none(), "started once");
-        let any = self.rng.random_range(self.left..self.servers.len());
-        let order = (any..self.servers.len()).chain(self.left..any);
+        assert!(self.records[ticket].started.is_none(), "a request started twice");
+        let any = self.rng.random_range(self.removed..self.servers.len());
+        let order = (any..self.servers.len()).chain(self.removed..any);
         let least = order.min_by_key(|s| self.servers[*s].assigned).unwrap_or(any);
-        let server = if self.world.blind { any } else { least };
+        let server = if self.cfg.ignores_server_load { any } else { least };
         self.servers[server].assigned += 1;
         let record = &mut self.records[ticket];
         (record.server, record.started, record.in_flight) = (server, Some(self.now), true);
         self.instances[record.instance].in_flight += 1;
-        self.at(self.now + self.world.one_way, Event::AtServer(ticket));
+        self.schedule(self.now + self.cfg.one_way, Event::AtServer(ticket));
     }
 
     fn at_server(&mut self, ticket: usize) {
         let server = &mut self.servers[self.records[ticket].server];
-        if server.running < self.world.slots {
+        if server.running < self.cfg.slots {
             return self.run_on_server(ticket);
         }
-        if server.queue.len() < self.world.server_queue {
+        if server.queue.len() < self.cfg.server_queue {
             return server.queue.push_back(ticket);
         }
-        self.send_back(ticket, true);
+        self.send_answer(ticket, true);
     }
 
     fn run_on_server(&mut self, ticket: usize) {
-        let work = match self.world.streams[self.records[ticket].stream].work {
+        let work = match self.cfg.streams[self.records[ticket].stream].work {
             Work::Constant(us) => us,
             Work::Exponential(mean) => self.exponential(mean),
         };
@@ -373,7 +373,7 @@
         server.running += 1;
         let work = Micros((work * server.factor) as u64);
         self.busy = self.busy + work;
-        self.at(self.now + work, Event::Done(ticket));
+        self.schedule(self.now + work, Event::Done(ticket));
     }
 
     fn done(&mut self, ticket: usize) {
@@ -383,15 +383,15 @@
         if let Some(next) = next {
             self.run_on_server(next);
         }
-        self.send_back(ticket, false);
+        self.send_answer(ticket, false);
     }
 
-    fn send_back(&mut self, ticket: usize, shed: bool) {
+    fn send_answer(&mut self, ticket: usize, shed: bool) {
         self.servers[self.records[ticket].server].assigned -= 1;
-        self.at(self.now + self.world.one_way, Event::Answer { ticket, shed });
+        self.schedule(self.now + self.cfg.one_way, Event::Answer { ticket, shed });
     }
 
-    /// The instance no longer counts the request as in flight.
+    /// Removes the request from the instance's count of requests in flight.
     fn stop(&mut self, ticket: usize) -> usize {
         let record = &mut self.records[ticket];
         let was_in_flight = std::mem::replace(&mut record.in_flight, false);
@@ -410,19 +410,19 @@
         self.instances[i].admission.finish(self.now, ticket as u64, outcome, latency);
         self.end(ticket, if shed { End::Shed } else { End::Answered });
         if shed {
-            self.come_back(ticket, Micros::from_millis(1));
+            self.schedule_retry(ticket, Micros::from_millis(1));
         }
         self.poll(i);
     }
 
-    fn impatient(&mut self, ticket: usize) {
+    fn time_out(&mut self, ticket: usize) {
         if self.records[ticket].end != End::Unfinished {
             return;
         }
         let i = self.stop(ticket);
         self.instances[i].admission.cancel(self.now, ticket as u64);
         self.end(ticket, End::TimedOut);
-        self.come_back(ticket, Micros::from_millis(1));
+        self.schedule_retry(ticket, Micros::from_millis(1));
         self.poll(i);
     }
 }
