--- a/crates/galenapath-entry/src/data/dispatch.rs
+++ b/crates/galenapath-entry/src/data/dispatch.rs
@@ -77,7 +77,7 @@
     /// Counts a further attempt.
     fn count_attempt(&self) {
         let mut attempts = self.attempts.get();
-        attempts.again();
+        attempts.increment();
         self.attempts.set(attempts);
     }
 
@@ -191,7 +191,7 @@
         self.call.service.state.borrow_mut().hedges.observe(latency);
         if let Some(count) = number(&reply.headers, ATTEMPT_HEADER) {
             let mut attempts = self.attempts.get();
-            attempts.reported(u32::try_from(count).unwrap_or(u32::MAX));
+            attempts.merge_reported(u32::try_from(count).unwrap_or(u32::MAX));
             self.attempts.set(attempts);
             self.call.trace.borrow_mut().attempts = attempts.made();
         }
--- a/crates/galenapath-entry/src/data/permit.rs
+++ b/crates/galenapath-entry/src/data/permit.rs
@@ -6,7 +6,7 @@
 use super::service::Service;
 use futures::channel::oneshot;
 use futures::future::{Either, select};
-use galenapath_policy::{Decision, Offer, Outcome, Rejection, Slot, Step, Ticket};
+use galenapath_policy::{Decision, Offer, Outcome, QueuedDecision, Rejection, Slot, Ticket};
 use galenapath_protocol::Micros;
 use std::cell::Cell;
 use std::pin::pin;
@@ -45,7 +45,7 @@
         let waited = started - arrived;
         plane.shared.metrics.wait.observe(waited.as_millis_f64() / 1_000.0);
         trace.borrow_mut().waited = waited;
-        service.state.borrow_mut().retries.first_try(started);
+        service.state.borrow_mut().retries.record_first_attempt(started);
         Ok(Self {
             plane: Rc::clone(plane),
             service: Rc::clone(service),
@@ -87,7 +87,7 @@
 
 enum Offered {
     Start,
-    Wait(oneshot::Receiver<Step>),
+    Wait(oneshot::Receiver<QueuedDecision>),
     Reject(Rejection),
 }
 
@@ -95,7 +95,7 @@
     service.poll(now);
     let class = service.class_index(&meta.class.name);
     let mut state = service.state.borrow_mut();
-    let workspace = state.admission.workspace(&meta.workspace);
+    let workspace = state.admission.workspace_index(&meta.workspace);
     let offer = Offer { ticket: meta.number, class, workspace, deadline: meta.deadline };
     match state.admission.offer(now, offer) {
         Decision::Start => {
@@ -120,7 +120,7 @@
     plane: &'a Rc<DataPlane>,
     service: &'a Rc<Service>,
     ticket: Ticket,
-    rx: oneshot::Receiver<Step>,
+    rx: oneshot::Receiver<QueuedDecision>,
     /// Whether the wait has ended and its end was taken note of.
     is_over: bool,
 }
@@ -138,12 +138,12 @@
     }
 
     /// Takes note of the end of the wait.
-    fn end(&mut self, step: Option<Step>) -> Result<(), Rejection> {
+    fn end(&mut self, step: Option<QueuedDecision>) -> Result<(), Rejection> {
         self.is_over = true;
         match step {
-            Some(Step::Reject(_, rejection)) => Err(rejection),
+            Some(QueuedDecision::Reject(_, rejection)) => Err(rejection),
             // The sender lives in the service until it has sent.
-            Some(Step::Start(_)) | None => Ok(()),
+            Some(QueuedDecision::Start(_)) | None => Ok(()),
         }
     }
 
@@ -163,7 +163,7 @@
         let now = self.plane.now();
         let mut state = self.service.state.borrow_mut();
         if state.waiters.remove(&self.ticket).is_none()
-            && matches!(self.rx.try_recv(), Ok(Some(Step::Start(_))))
+            && matches!(self.rx.try_recv(), Ok(Some(QueuedDecision::Start(_))))
         {
             state.unsent -= 1;
         }
--- a/crates/galenapath-entry/src/data/service.rs
+++ b/crates/galenapath-entry/src/data/service.rs
@@ -9,8 +9,8 @@
 use galenapath_config::{ClassKind, Config};
 use galenapath_policy::{
     Admission, AdmissionConfig, BackendSpec, BackendState, Balancer, BalancerConfig, ChoicePolicy,
-    ClassIndex, ClassPolicy, HedgeConfig, HedgePolicy, RetryBudget, RetryConfig, Slot, Step,
-    Ticket, WorkLength,
+    ClassIndex, ClassPolicy, HedgeConfig, HedgePolicy, QueuedDecision, RetryBudget, RetryConfig,
+    Slot, Ticket, WorkLength,
 };
 use galenapath_protocol::{BackendId, FastMap, Incarnation, Micros, hash64};
 use galenapath_settings::Choice;
@@ -43,7 +43,7 @@
     pub(super) admission: Admission,
     pub(super) retries: RetryBudget,
     pub(super) hedges: HedgePolicy,
-    pub(super) waiters: FastMap<Ticket, oneshot::Sender<Step>>,
+    pub(super) waiters: FastMap<Ticket, oneshot::Sender<QueuedDecision>>,
     /// Requests that were let in and of which no attempt has begun: the balancer still counts
     /// their slots as free.
     pub(super) unsent: u32,
@@ -206,13 +206,13 @@
         self.backends = backends;
     }
 
-    fn deliver(&mut self, now: Micros, step: Step) {
-        let (Step::Start(ticket) | Step::Reject(ticket, _)) = step;
+    fn deliver(&mut self, now: Micros, step: QueuedDecision) {
+        let (QueuedDecision::Start(ticket) | QueuedDecision::Reject(ticket, _)) = step;
         let is_taken = self.waiters.remove(&ticket).is_some_and(|tx| tx.send(step).is_ok());
         match step {
-            Step::Start(_) if is_taken => self.unsent += 1,
-            Step::Start(_) => self.admission.cancel(now, ticket),
-            Step::Reject(..) => {}
+            QueuedDecision::Start(_) if is_taken => self.unsent += 1,
+            QueuedDecision::Start(_) => self.admission.cancel(now, ticket),
+            QueuedDecision::Reject(..) => {}
         }
     }
 }
--- a/crates/galenapath-gateway/src/answer.rs
+++ b/crates/galenapath-gateway/src/answer.rs
@@ -6,7 +6,7 @@
 use crate::instance::Instance;
 use bytes::Bytes;
 use galenapath_http::{Framing, HttpError, put_response};
-use galenapath_policy::LineKind;
+use galenapath_policy::LogLineKind;
 use galenapath_protocol::{Micros, Verdict};
 use http::header::{CONTENT_TYPE, HeaderMap, HeaderValue, RETRY_AFTER};
 use http::{Method, StatusCode};
@@ -107,7 +107,7 @@
     let waited = call.waited.get();
     metrics.wait.with_label_values(&labels).observe(waited.as_millis_f64() / 1_000.0);
     let is_good = end.status.is_success() && now <= req.target_at;
-    if !instance.may_log(if is_good { LineKind::Good } else { LineKind::Failure }) {
+    if !instance.may_log(if is_good { LogLineKind::Success } else { LogLineKind::Failure }) {
         return;
     }
     let config = instance.state.borrow().table().version();
@@ -138,7 +138,7 @@
     answer: &OwnAnswer,
 ) {
     instance.metrics.answers.with_label_values(&["none", answer.reason]).inc();
-    if !instance.may_log(LineKind::Failure) {
+    if !instance.may_log(LogLineKind::Failure) {
         return;
     }
     let request = id.and_then(|id| id.to_str().ok()).unwrap_or("-");
--- a/crates/galenapath-gateway/src/call.rs
+++ b/crates/galenapath-gateway/src/call.rs
@@ -63,7 +63,7 @@
         }
         self.unresolved.set(self.unresolved.get() + 1);
         if self.sends.replace(self.sends.get() + 1) == 0 {
-            self.service.retries.borrow_mut().first_try(now);
+            self.service.retries.borrow_mut().record_first_attempt(now);
         }
     }
 
--- a/crates/galenapath-gateway/src/caller.rs
+++ b/crates/galenapath-gateway/src/caller.rs
@@ -14,7 +14,7 @@
     BadRequest, BodyState, Connection, Framing, HeadTimes, HttpError, RequestHead,
     expects_continue, request_framing, request_host, wants_keep_alive,
 };
-use galenapath_policy::Chance;
+use galenapath_policy::CallerAttempt;
 use galenapath_protocol::{Micros, Verdict};
 use galenapath_routes::{CallerLimits, Route};
 use http::header::{CONNECTION, HeaderMap, HeaderValue};
@@ -185,7 +185,8 @@
     let fingerprint = Fingerprint::of(&route.host, head.method.as_str(), &path, &body);
     let failed_first = instance.failed.borrow_mut().take(arrived, fingerprint.0);
     let first_at = failed_first.unwrap_or(arrived);
-    let chance = if failed_first.is_some() { Chance::Last } else { Chance::First };
+    let chance =
+        if failed_first.is_some() { CallerAttempt::Repeated } else { CallerAttempt::First };
     let target_at = instance.target_at(&route, arrived, first_at, told);
     let req = Request {
         ticket: instance.next_ticket(),
@@ -247,7 +248,7 @@
         Some(Ok(reply)) => relay::send(&call, caller, reply).await,
         Some(Err(failure)) => {
             let (now, req) = (instance.now(), &call.req);
-            instance.failed.borrow_mut().note(now, req.fingerprint.0, req.first_at);
+            instance.failed.borrow_mut().record(now, req.fingerprint.0, req.first_at);
             let end = End {
                 status: failure.status,
                 outcome: failure.reason,
--- a/crates/galenapath-gateway/src/fleet/joining.rs
+++ b/crates/galenapath-gateway/src/fleet/joining.rs
@@ -5,7 +5,7 @@
 use crate::instance::{Instance, sleep};
 use crate::usage::Flow;
 use galenapath_membership::{Learned, Member};
-use galenapath_policy::LineKind;
+use galenapath_policy::LogLineKind;
 use galenapath_protocol::Micros;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -96,7 +96,7 @@
     let joined = (member.id.0.clone(), member.incarnation);
     let learned = instance.beats.borrow_mut().learn(now, member);
     // Hundreds that start together would else write a line each on all of them.
-    if learned == Learned::News && instance.may_log(LineKind::Peer) {
+    if learned == Learned::News && instance.may_log(LogLineKind::Peer) {
         log::info!(peer = joined.0, incarnation:% = joined.1; "instance joined");
     }
     learned
--- a/crates/galenapath-gateway/src/fleet/tasks.rs
+++ b/crates/galenapath-gateway/src/fleet/tasks.rs
@@ -6,7 +6,7 @@
 use crate::instance::{Instance, sleep, sleep_to_next};
 use crate::usage::Flow;
 use galenapath_membership::{Beat, Belief, Heard, StoreHealth, Vitals};
-use galenapath_policy::LineKind;
+use galenapath_policy::LogLineKind;
 use galenapath_protocol::Micros;
 use monoio::net::udp::UdpSocket;
 use std::net::SocketAddr;
@@ -66,7 +66,7 @@
 
 /// What others have found is written by them as well.
 fn log_belief(instance: &Instance, change: &Belief) {
-    if !change.is_own && !instance.may_log(LineKind::Peer) {
+    if !change.is_own && !instance.may_log(LogLineKind::Peer) {
         return;
     }
     let silence_ms = change.silence.0 / 1_000;
--- a/crates/galenapath-gateway/src/health.rs
+++ b/crates/galenapath-gateway/src/health.rs
@@ -9,7 +9,7 @@
     BodyState, Connection, Framing, HeadTimes, HttpError, ResponseHead, put_request,
     response_framing,
 };
-use galenapath_policy::LineKind;
+use galenapath_policy::LogLineKind;
 use galenapath_policy::place::Sighting;
 use galenapath_protocol::{BackendId, Micros};
 use http::header::{HOST, HeaderMap, HeaderValue};
@@ -103,7 +103,7 @@
     let news = service.placement.borrow_mut().set_cold(instance.now(), id, left);
     let Some(cold_until) = news else { return };
     instance.share_warmth(service, id, cold_until);
-    if instance.may_log(LineKind::Peer) {
+    if instance.may_log(LogLineKind::Peer) {
         let cold_ms = left.0 / 1_000;
         log::info!(server:% = id, cold_ms; "server cold or warm");
     }
--- a/crates/galenapath-gateway/src/instance.rs
+++ b/crates/galenapath-gateway/src/instance.rs
@@ -13,7 +13,7 @@
 use galenapath_policy::dispatch::RecentLoad;
 use galenapath_policy::measure::{Crossings, QuestionTimes};
 use galenapath_policy::place::{Placement, spent};
-use galenapath_policy::{FailedRequests, LineBudget, LineKind};
+use galenapath_policy::{FailedRequests, LogLineBudget, LogLineKind};
 use galenapath_protocol::{DomainId, FastMap, Incarnation, Micros};
 use galenapath_routes::{Route, SplitTurn};
 use galenapath_settings::GatewaySettings;
@@ -66,7 +66,7 @@
     store_heard_at: Cell<Micros>,
     /// Requests in progress.
     pub(crate) in_progress: Cell<u32>,
-    lines: Cell<LineBudget>,
+    lines: Cell<LogLineBudget>,
     /// How long questions to servers take here.
     question_times: Cell<QuestionTimes>,
     served_at: Cell<Micros>,
@@ -118,7 +118,7 @@
             is_watching: Cell::new(false),
             store_heard_at: Cell::new(clock.now()),
             in_progress: Cell::new(0),
-            lines: Cell::new(LineBudget::new(settings.log_lines)),
+            lines: Cell::new(LogLineBudget::new(settings.log_lines)),
             question_times: Cell::default(),
             served_at: Cell::new(Micros::ZERO),
             crossings: Cell::default(),
@@ -209,7 +209,7 @@
     }
 
     /// Whether a log line about a request is written; counts it where it is not.
-    pub(crate) fn may_log(&self, kind: LineKind) -> bool {
+    pub(crate) fn may_log(&self, kind: LogLineKind) -> bool {
         let mut lines = self.lines.get();
         let fits = lines.take(self.now(), kind);
         self.lines.set(lines);
--- a/crates/galenapath-gateway/src/notices.rs
+++ b/crates/galenapath-gateway/src/notices.rs
@@ -8,7 +8,7 @@
 use crate::probe;
 use crate::service::Service;
 use crate::usage::Flow;
-use galenapath_policy::LineKind;
+use galenapath_policy::LogLineKind;
 use galenapath_policy::place::{Placement, RateLimit};
 use galenapath_protocol::{BackendId, Micros};
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
             return false;
         }
         probe::share_scarce(self);
-        if self.may_log(LineKind::Peer) {
+        if self.may_log(LogLineKind::Peer) {
             let (is_limited, limit) = (word.per_second.is_some(), word.per_second.unwrap_or(0.0));
             log::info!(server:% = id, is_limited, limit, told_by; "rate limit of a server");
         }
@@ -57,7 +57,7 @@
             return false;
         }
         service.placement.borrow_mut().mark_leaving(id);
-        if self.may_log(LineKind::Peer) {
+        if self.may_log(LogLineKind::Peer) {
             log::info!(server:% = id, told_by; "server says that it leaves");
         }
         true
--- a/crates/galenapath-gateway/src/request.rs
+++ b/crates/galenapath-gateway/src/request.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use galenapath_filings::Fingerprint;
 use galenapath_http::{Framing, RequestHead, strip_hop_by_hop};
-use galenapath_policy::Chance;
+use galenapath_policy::CallerAttempt;
 use galenapath_protocol::Micros;
 use galenapath_routes::Route;
 use http::Method;
@@ -28,7 +28,7 @@
     /// What makes two requests the same work.
     pub(crate) fingerprint: Fingerprint,
     /// Whether its caller has come back with it.
-    pub(crate) chance: Chance,
+    pub(crate) chance: CallerAttempt,
     /// When the caller's first attempt arrived, as far as that is known.
     pub(crate) first_at: Micros,
     /// When its head was read.
--- a/crates/galenapath-gateway/src/said.rs
+++ b/crates/galenapath-gateway/src/said.rs
@@ -6,7 +6,7 @@
 use crate::notices::limit_note;
 use crate::service::Service;
 use galenapath_http::ResponseHead;
-use galenapath_policy::LineKind;
+use galenapath_policy::LogLineKind;
 use galenapath_policy::place::RateLimit;
 use galenapath_protocol::{BackendId, Micros};
 use http::StatusCode;
@@ -74,7 +74,7 @@
         let Some(span) = pause(self.head) else { return };
         let (instance, id) = (self.instance, self.id);
         let is_news = self.service.placement.borrow_mut().pause(instance.now(), id, span);
-        if is_news && instance.may_log(LineKind::Peer) {
+        if is_news && instance.may_log(LogLineKind::Peer) {
             let (for_ms, told_by) = (span.0 / 1_000, self.answered.as_str());
             log::info!(server:% = id, for_ms, told_by; "server wants nothing");
         }
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -9,7 +9,7 @@
 use galenapath_policy::place::{
     Line, PlaceConfig, PlacedServer, Placement, QueueConfig, Sighting, Started, WaitQueue, WarmUp,
 };
-use galenapath_policy::{RetryBudget, RetryConfig, SharedAllowance};
+use galenapath_policy::{RetryBudget, RetryConfig, SharedRetryBudget};
 use galenapath_protocol::{BackendId, DomainId, FastMap, Micros, hash64};
 use galenapath_routes::{ServerRecord, ServerState, ServiceSpec};
 use galenapath_settings::RetryAllowance;
@@ -337,5 +337,5 @@
 /// The retries that an instance may send which serves `part` of all requests.
 fn retry_config(allowance: &RetryAllowance, part: f64) -> RetryConfig {
     let RetryAllowance { ratio, slack, window } = *allowance;
-    SharedAllowance { ratio, slack, window: window.into() }.part(part)
+    SharedRetryBudget { ratio, slack, window: window.into() }.for_share(part)
 }
--- a/crates/galenapath-gateway/src/state.rs
+++ b/crates/galenapath-gateway/src/state.rs
@@ -4,7 +4,7 @@
 use crate::leaving::Leaving;
 use crate::packed::Packed;
 use galenapath_platform::{Item, KeyEvent};
-use galenapath_policy::LineKind;
+use galenapath_policy::LogLineKind;
 use galenapath_protocol::{BackendId, Micros};
 use galenapath_routes::{
     Change, Directory, Evacuations, ListNews, ListedServer, Removal, RouteTable, ServerChanges,
@@ -202,7 +202,7 @@
     /// An entry below the servers' prefix is not a server's own: it names no server.
     fn note_unreadable(&self, id: &str, revision: u64, error: &str) {
         self.metrics.unreadable_entries.inc();
-        if self.may_log(LineKind::Failure) {
+        if self.may_log(LogLineKind::Failure) {
             log::warn!(server = id, revision, error; "entry names no server");
         }
     }
--- a/crates/galenapath-policy/benches/decisions/sim/admit.rs
+++ b/crates/galenapath-policy/benches/decisions/sim/admit.rs
@@ -3,8 +3,8 @@
 use super::Sim;
 use crate::scenario::{Arrival, CALLERS, LONG_TARGET, Pattern, Scenario, TARGET, Time};
 use galenapath_policy::{
-    Admission, AdmissionConfig, Balancer, ClassIndex, ClassPolicy, Decision, Offer, Outcome, Step,
-    WorkLength, WorkspaceIndex,
+    Admission, AdmissionConfig, Balancer, ClassIndex, ClassPolicy, Decision, Offer, Outcome,
+    QueuedDecision, WorkLength, WorkspaceIndex,
 };
 use galenapath_protocol::Micros;
 
@@ -35,7 +35,7 @@
         let short = policy(SHORT, WorkLength::Short, TARGET);
         let classes = [short, policy(LONG, WorkLength::Long, LONG_TARGET)];
         admission.set_classes(&classes[..1 + usize::from(has_long)]);
-        let workspaces = (0..CALLERS).map(|i| admission.workspace(&i.to_string())).collect();
+        let workspaces = (0..CALLERS).map(|i| admission.workspace_index(&i.to_string())).collect();
         Self { admission, workspaces, in_flight: 0 }
     }
 
@@ -98,8 +98,8 @@
             }
             for step in steps.drain(..) {
                 match step {
-                    Step::Start(req) => self.send_admitted(req as usize),
-                    Step::Reject(req, _) => self.turn_away(req as usize),
+                    QueuedDecision::Start(req) => self.send_admitted(req as usize),
+                    QueuedDecision::Reject(req, _) => self.turn_away(req as usize),
                 }
             }
         }
--- a/crates/galenapath-policy/examples/admission_cost.rs
+++ b/crates/galenapath-policy/examples/admission_cost.rs
@@ -3,8 +3,8 @@
 //! `cargo run --release -p galenapath-policy --example admission_cost`
 
 use galenapath_policy::{
-    Admission, AdmissionConfig, ClassIndex, ClassPolicy, Decision, Offer, Outcome, Step, Ticket,
-    WorkLength, WorkspaceIndex,
+    Admission, AdmissionConfig, ClassIndex, ClassPolicy, Decision, Offer, Outcome, QueuedDecision,
+    Ticket, WorkLength, WorkspaceIndex,
 };
 use galenapath_protocol::Micros;
 use std::collections::VecDeque;
@@ -36,7 +36,7 @@
     let target = Micros::from_millis(50);
     admission.set_classes(&[ClassPolicy { class, length: WorkLength::Short, target }]);
     let indices: Vec<WorkspaceIndex> =
-        (0..workspaces).map(|i| admission.workspace(&i.to_string())).collect();
+        (0..workspaces).map(|i| admission.workspace_index(&i.to_string())).collect();
     let mut running: VecDeque<Ticket> = VecDeque::new();
     let mut steps = Vec::new();
     let mut started = 0;
@@ -58,7 +58,7 @@
         }
         admission.poll(now, &mut steps);
         for step in steps.drain(..) {
-            if let Step::Start(ticket) = step {
+            if let QueuedDecision::Start(ticket) = step {
                 running.push_back(ticket);
                 started += 1;
             }
--- a/crates/galenapath-policy/src/admission/controller.rs
+++ b/crates/galenapath-policy/src/admission/controller.rs
@@ -10,7 +10,7 @@
 use super::admitted_load::AdmittedLoad;
 use super::classes::Classes;
 use super::config::AdmissionConfig;
-use super::decision::{Decision, RejectReason, Step};
+use super::decision::{Decision, QueuedDecision, RejectReason};
 use super::fair_queue::QueuedRequest;
 use super::lane::Lane;
 use super::limit::ConcurrencyLimit;
@@ -23,8 +23,8 @@
 
 /// Decides for one service on one instance which requests start, wait or are rejected.
 ///
-/// Every offered ticket gets exactly one final decision: `Start` or `Reject`, or a [`Step`] after
-/// `Wait`. A cancelled ticket gets none after the cancellation.
+/// Every offered ticket gets exactly one final decision: `Start` or `Reject`, or a
+/// [`QueuedDecision`] after `Wait`. A cancelled ticket gets none after the cancellation.
 pub struct Admission {
     pub(super) cfg: AdmissionConfig,
     pub(super) classes: Classes,
@@ -40,7 +40,7 @@
     /// Waiting tickets by the time at which they are rejected.
     pub(super) expirations: BTreeSet<(Micros, Ticket)>,
     /// Decisions made since the last `poll`.
-    pub(super) pending: Vec<Step>,
+    pub(super) pending: Vec<QueuedDecision>,
     pub(super) retries: RetrySchedule,
     admitted_load: AdmittedLoad,
     /// Whether the last request started from the queue was long work.
@@ -89,7 +89,7 @@
 
     /// Returns the index of a workspace. Once the maximum number is reached, new names share one
     /// index.
-    pub fn workspace(&mut self, name: &str) -> WorkspaceIndex {
+    pub fn workspace_index(&mut self, name: &str) -> WorkspaceIndex {
         self.workspaces.index(name)
     }
 
@@ -143,7 +143,7 @@
 
     /// Appends the decisions on queued requests that are due. Call it after `finish`, `cancel` and
     /// `set_capacity`, and at `next_wake`.
-    pub fn poll(&mut self, now: Micros, out: &mut Vec<Step>) {
+    pub fn poll(&mut self, now: Micros, out: &mut Vec<QueuedDecision>) {
         self.expire(now);
         self.trim_queue(now, WorkLength::Short);
         self.trim_queue(now, WorkLength::Long);
@@ -180,7 +180,7 @@
     pub fn cancel(&mut self, now: Micros, ticket: Ticket) {
         self.stop(ticket);
         self.remove_queued(now, ticket);
-        self.pending.retain(|step| step.ticket() != ticket);
+        self.pending.retain(|decision| decision.ticket() != ticket);
     }
 
     /// Returns the load to report to peers, which use it to choose the addresses given to callers:
@@ -296,9 +296,9 @@
     /// Returns the decision on a request that was just queued: it may itself have been rejected
     /// when the queue was trimmed.
     fn decision_after_enqueue(&mut self, ticket: Ticket) -> Decision {
-        match self.pending.pop_if(|step| step.ticket() == ticket) {
-            Some(Step::Reject(_, rejection)) => Decision::Reject(rejection),
-            Some(Step::Start(_)) => Decision::Start,
+        match self.pending.pop_if(|decision| decision.ticket() == ticket) {
+            Some(QueuedDecision::Reject(_, rejection)) => Decision::Reject(rejection),
+            Some(QueuedDecision::Start(_)) => Decision::Start,
             None => Decision::Wait,
         }
     }
@@ -326,7 +326,7 @@
                 self.admitted_load.record(entry.workspace);
             }
             self.start(req.ticket, Running { class: req.class, length });
-            self.pending.push(Step::Start(req.ticket));
+            self.pending.push(QueuedDecision::Start(req.ticket));
             self.observe_wait(now, length);
         }
     }
--- a/crates/galenapath-policy/src/admission/decision.rs
+++ b/crates/galenapath-policy/src/admission/decision.rs
@@ -8,7 +8,7 @@
 pub enum Decision {
     /// Send the request to a backend server now.
     Start,
-    /// Keep the request in the queue; a [`Step`] follows.
+    /// Keep the request in the queue; a [`QueuedDecision`] follows.
     Wait,
     /// Answer the caller now; the request was not run.
     Reject(Rejection),
@@ -41,14 +41,14 @@
 
 /// The final decision on a request that was queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum QueuedDecision {
     /// Send the request to a backend server now.
     Start(Ticket),
     /// Answer the caller now; the request was not run.
     Reject(Ticket, Rejection),
 }
 
-impl Step {
+impl QueuedDecision {
     /// Returns the ticket of the request.
     pub fn ticket(&self) -> Ticket {
         match self {
--- a/crates/galenapath-policy/src/admission/mod.rs
+++ b/crates/galenapath-policy/src/admission/mod.rs
@@ -19,5 +19,5 @@
 
 pub use config::{AdmissionConfig, LimitConfig, LimitRule};
 pub use controller::Admission;
-pub use decision::{Decision, RejectReason, Rejection, Step};
+pub use decision::{Decision, QueuedDecision, RejectReason, Rejection};
 pub use offer::{ClassIndex, ClassPolicy, Offer, Ticket, WorkLength, WorkspaceIndex};
--- a/crates/galenapath-policy/src/admission/offer.rs
+++ b/crates/galenapath-policy/src/admission/offer.rs
@@ -9,7 +9,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassIndex(pub u32);
 
-/// Dense index of a workspace, assigned by [`Admission::workspace`](super::Admission::workspace).
+/// Dense index of a workspace, assigned by
+/// [`Admission::workspace_index`](super::Admission::workspace_index).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkspaceIndex(pub u32);
 
--- a/crates/galenapath-policy/src/admission/rejection.rs
+++ b/crates/galenapath-policy/src/admission/rejection.rs
@@ -6,7 +6,7 @@
 //! workspaces over their share of the queue are rejected first.
 
 use super::controller::Admission;
-use super::decision::{Decision, RejectReason, Rejection, Step};
+use super::decision::{Decision, QueuedDecision, RejectReason, Rejection};
 use super::offer::{Offer, Ticket, WorkLength, WorkspaceIndex};
 use galenapath_protocol::Micros;
 
@@ -130,6 +130,6 @@
         reason: RejectReason,
     ) {
         let rejection = self.rejection(now, length, reason);
-        self.pending.push(Step::Reject(ticket, rejection));
+        self.pending.push(QueuedDecision::Reject(ticket, rejection));
     }
 }
--- a/crates/galenapath-policy/src/lib.rs
+++ b/crates/galenapath-policy/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`admission`]: which requests start, wait in a queue or are rejected.
 //! - [`balance`]: which backend server a request is sent to.
 //! - [`dispatch`]: which entry instances dispatch for a service, and how they share connections.
-//! - [`LineBudget`]: which log lines about requests are written.
+//! - [`LogLineBudget`]: which log lines about requests are written.
 //! - [`measure`]: when a backend server may be probed, within a fixed budget.
 //! - [`place`]: placement and queueing for servers whose speed changes within a request.
 //! - [`retry`]: when a request may be retried, and when it may be hedged.
@@ -14,7 +14,7 @@
 pub mod admission;
 pub mod balance;
 pub mod dispatch;
-mod lines;
+mod log_lines;
 pub mod measure;
 mod outcome;
 pub mod place;
@@ -23,12 +23,12 @@
 
 pub use admission::{
     Admission, AdmissionConfig, ClassIndex, ClassPolicy, Decision, LimitConfig, LimitRule, Offer,
-    RejectReason, Rejection, Step, Ticket, WorkLength, WorkspaceIndex,
+    QueuedDecision, RejectReason, Rejection, Ticket, WorkLength, WorkspaceIndex,
 };
 pub use balance::{BackendSpec, BackendState, Balancer, BalancerConfig, ChoicePolicy, Slot};
-pub use lines::{LineBudget, LineKind};
+pub use log_lines::{LogLineBudget, LogLineKind};
 pub use outcome::Outcome;
 pub use retry::{
-    AttemptCount, Chance, FailedRequests, HedgeConfig, HedgePolicy, MAX_ATTEMPTS, RequestKind,
-    RetryBudget, RetryConfig, SharedAllowance, may_retry,
+    AttemptCount, CallerAttempt, FailedRequests, HedgeConfig, HedgePolicy, MAX_ATTEMPTS,
+    RequestKind, RetryBudget, RetryConfig, SharedRetryBudget, may_retry,
 };
--- a/crates/galenapath-policy/src/lines.rs
+++ b/crates/galenapath-policy/src/log_lines.rs
@@ -14,9 +14,9 @@
 
 /// The subject of a log line; each kind has its own budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LineKind {
+pub enum LogLineKind {
     /// A request that was answered successfully and in time.
-    Good,
+    Success,
     /// A request that failed, was rejected or was late.
     Failure,
     /// A state change of a peer instance. Every instance logs it, and hundreds of instances may
@@ -26,7 +26,7 @@
 
 /// Log lines written in the current second, and the limits for each kind.
 #[derive(Clone, Copy, Debug)]
-pub struct LineBudget {
+pub struct LogLineBudget {
     /// Lines per second about successful requests.
     per_second: u32,
     /// Start of the current second.
@@ -36,7 +36,7 @@
     peers: u32,
 }
 
-impl LineBudget {
+impl LogLineBudget {
     /// Creates a budget of `per_second` lines about successful requests, the same number about peer
     /// instances and ten times as many about failures.
     pub fn new(per_second: u32) -> Self {
@@ -49,14 +49,14 @@
     }
 
     /// Returns whether one more line may be written, and counts it if so.
-    pub fn take(&mut self, now: Micros, kind: LineKind) -> bool {
+    pub fn take(&mut self, now: Micros, kind: LogLineKind) -> bool {
         if now - self.started_at >= SECOND {
             *self = Self { started_at: now, successes: 0, failures: 0, peers: 0, ..*self };
         }
         let (used, limit) = match kind {
-            LineKind::Good => (&mut self.successes, self.per_second),
-            LineKind::Peer => (&mut self.peers, self.per_second),
-            LineKind::Failure => {
+            LogLineKind::Success => (&mut self.successes, self.per_second),
+            LogLineKind::Peer => (&mut self.peers, self.per_second),
+            LogLineKind::Failure => {
                 (&mut self.failures, self.per_second.saturating_mul(FAILURES_PER_SUCCESS))
             }
         };
--- a/crates/galenapath-policy/src/retry/attempts.rs
+++ b/crates/galenapath-policy/src/retry/attempts.rs
@@ -25,12 +25,12 @@
     }
 
     /// Merges the count received with an answer.
-    pub fn reported(&mut self, count: u32) {
+    pub fn merge_reported(&mut self, count: u32) {
         self.made = self.made.max(count);
     }
 
     /// Counts the start of another attempt.
-    pub fn again(&mut self) {
+    pub fn increment(&mut self) {
         self.made = self.made.saturating_add(1);
     }
 }
--- a/crates/galenapath-policy/src/retry/budget.rs
+++ b/crates/galenapath-policy/src/retry/budget.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryConfig {
     /// Retries allowed per first attempt, 0 to 1.
-    pub share: f64,
+    pub ratio: f64,
     /// Retries allowed per second regardless of the number of first attempts.
     pub floor_per_second: f64,
     /// Maximum number of accumulated retries. At least one.
@@ -19,7 +19,7 @@
 
 impl Default for RetryConfig {
     fn default() -> Self {
-        Self { share: 0.1, floor_per_second: 1.0, burst: 20.0 }
+        Self { ratio: 0.1, floor_per_second: 1.0, burst: 20.0 }
     }
 }
 
@@ -33,11 +33,11 @@
 
 /// Whether the caller sends a request for the first time or again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Chance {
+pub enum CallerAttempt {
     /// The caller has not sent the request before and may send it again if it fails.
     First,
     /// The caller has sent the request before; it is not expected to send it again.
-    Last,
+    Repeated,
 }
 
 /// Token bucket for the retries of one service, filled by first attempts and at a small constant
@@ -67,26 +67,26 @@
     }
 
     /// Records the first attempt of a request.
-    pub fn first_try(&mut self, now: Micros) {
+    pub fn record_first_attempt(&mut self, now: Micros) {
         self.add_floor(now);
-        self.add(self.cfg.share);
+        self.add(self.cfg.ratio);
     }
 
     /// Returns whether a retry or hedge may be sent now, and takes it from the budget if so.
     pub fn try_retry(&mut self, now: Micros) -> bool {
-        self.try_retry_for(now, Chance::First)
+        self.try_retry_for(now, CallerAttempt::First)
     }
 
     /// Like [`Self::try_retry`], but lets repeated requests use the reserved part of the budget.
-    pub fn try_retry_for(&mut self, now: Micros, chance: Chance) -> bool {
+    pub fn try_retry_for(&mut self, now: Micros, attempt: CallerAttempt) -> bool {
         self.add_floor(now);
-        let reserved = match chance {
-            Chance::Last => {
+        let reserved = match attempt {
+            CallerAttempt::Repeated => {
                 self.reserved_until = now + RESERVATION_TIME;
                 0.0
             }
-            Chance::First if now < self.reserved_until => self.cfg.burst * RESERVED_FRACTION,
-            Chance::First => 0.0,
+            CallerAttempt::First if now < self.reserved_until => self.cfg.burst * RESERVED_FRACTION,
+            CallerAttempt::First => 0.0,
         };
         if self.tokens < 1.0 + reserved {
             return false;
--- a/crates/galenapath-policy/src/retry/failed_requests.rs
+++ b/crates/galenapath-policy/src/retry/failed_requests.rs
@@ -26,7 +26,7 @@
 impl FailedRequests {
     /// Records a request that has failed and that the caller may send again. `first_at` is the
     /// arrival time of its first attempt.
-    pub fn note(&mut self, now: Micros, request: u128, first_at: Micros) {
+    pub fn record(&mut self, now: Micros, request: u128, first_at: Micros) {
         if self.first_arrivals.len() >= MAX_ENTRIES {
             self.first_arrivals.retain(|_, at| now - *at < RETENTION);
         }
--- a/crates/galenapath-policy/src/retry/mod.rs
+++ b/crates/galenapath-policy/src/retry/mod.rs
@@ -8,8 +8,8 @@
 mod shared_budget;
 
 pub use attempts::AttemptCount;
-pub use budget::{Chance, RetryBudget, RetryConfig};
+pub use budget::{CallerAttempt, RetryBudget, RetryConfig};
 pub use failed_requests::FailedRequests;
 pub use hedge::{HedgeConfig, HedgePolicy};
 pub use rule::{MAX_ATTEMPTS, RequestKind, may_retry};
-pub use shared_budget::SharedAllowance;
+pub use shared_budget::SharedRetryBudget;
--- a/crates/galenapath-policy/src/retry/shared_budget.rs
+++ b/crates/galenapath-policy/src/retry/shared_budget.rs
@@ -29,7 +29,7 @@
 
 /// Retry budget of one service over all instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SharedAllowance {
+pub struct SharedRetryBudget {
     /// Retries allowed per request.
     pub ratio: f64,
     /// Retries allowed in one window in addition to the ratio.
@@ -38,13 +38,13 @@
     pub window: Micros,
 }
 
-impl SharedAllowance {
+impl SharedRetryBudget {
     /// Returns the budget of an instance that serves `share` of all requests, from 0 to 1.
-    pub fn part(&self, share: f64) -> RetryConfig {
+    pub fn for_share(&self, share: f64) -> RetryConfig {
         let window = (self.window.0 as f64 / 1e6).max(0.1);
         let slack = self.slack * share;
         RetryConfig {
-            share: self.ratio * USED_RATIO,
+            ratio: self.ratio * USED_RATIO,
             floor_per_second: slack * STEADY_SLACK / window,
             burst: (slack * BURST_SLACK).max(MIN_BURST),
         }
--- a/crates/galenapath-policy/tests/admission.rs
+++ b/crates/galenapath-policy/tests/admission.rs
@@ -1,8 +1,8 @@
 //! Invariants of admission for arbitrary sequences of calls.
 
 use galenapath_policy::{
-    Admission, AdmissionConfig, ClassIndex, ClassPolicy, Decision, Offer, Outcome, RejectReason,
-    Step, Ticket, WorkLength,
+    Admission, AdmissionConfig, ClassIndex, ClassPolicy, Decision, Offer, Outcome, QueuedDecision,
+    RejectReason, Ticket, WorkLength,
 };
 use galenapath_protocol::Micros;
 use proptest::prelude::*;
@@ -94,7 +94,7 @@
     fn offer(&mut self, workspace: u8, class: ClassPolicy, timeout_ms: u64) {
         let ticket = self.next;
         self.next += 1;
-        let workspace = self.admission.workspace(&workspace.to_string());
+        let workspace = self.admission.workspace_index(&workspace.to_string());
         let deadline = self.now + Micros::from_millis(timeout_ms);
         let offer = Offer { ticket, class: class.class, workspace, deadline };
         match self.admission.offer(self.now, offer) {
@@ -124,11 +124,11 @@
     }
 
     fn poll(&mut self) {
-        let mut steps = Vec::new();
-        self.admission.poll(self.now, &mut steps);
-        for step in steps {
-            assert!(self.waiting.remove(&step.ticket()), "more than one decision for a ticket");
-            if let Step::Start(ticket) = step {
+        let mut decisions = Vec::new();
+        self.admission.poll(self.now, &mut decisions);
+        for decision in decisions {
+            assert!(self.waiting.remove(&decision.ticket()), "more than one decision for a ticket");
+            if let QueuedDecision::Start(ticket) = decision {
                 self.start(ticket);
             }
         }
@@ -176,7 +176,7 @@
 fn offer_rejected_while_draining() {
     let mut model = Model::new();
     model.admission.set_draining(true);
-    let workspace = model.admission.workspace("a");
+    let workspace = model.admission.workspace_index("a");
     let deadline = Micros::from_secs(1);
     let offer = Offer { ticket: 1, class: SHORT.class, workspace, deadline };
     let Decision::Reject(rejection) = model.admission.offer(Micros::ZERO, offer) else {
@@ -189,7 +189,7 @@
 fn workspace_number_bounded() {
     let cfg = AdmissionConfig { max_workspaces: 4, ..AdmissionConfig::default() };
     let mut admission = Admission::new(cfg, 1);
-    let mut index = |name: &str| admission.workspace(name);
+    let mut index = |name: &str| admission.workspace_index(name);
     let known = [index("a"), index("b"), index("c")];
     assert_eq!(index("d"), index("e"), "names beyond the bound share an index");
     assert_eq!([index("a"), index("b"), index("c")], known);
--- a/crates/galenapath-policy/tests/retry.rs
+++ b/crates/galenapath-policy/tests/retry.rs
@@ -40,12 +40,12 @@
         let mut below = AttemptCount::received(if is_carried { count.made() } else { 1 });
         reached += amplification(depth - 1, &mut below, is_carried);
         if is_carried {
-            count.reported(below.made());
+            count.merge_reported(below.made());
         }
         if !may_retry(RequestKind::Lookup, Verdict::NotRun, count.made(), ONE_SECOND) {
             return reached;
         }
-        count.again();
+        count.increment();
     }
 }
 
@@ -68,10 +68,10 @@
     let mut retries = 0;
     for i in 0..100_000_u64 {
         let now = Micros(i * 100);
-        budget.first_try(now);
+        budget.record_first_attempt(now);
         retries += u32::from(budget.try_retry(now));
     }
-    let bound = 100_000.0 * cfg.share + 10.0 * cfg.floor_per_second + 1.0;
+    let bound = 100_000.0 * cfg.ratio + 10.0 * cfg.floor_per_second + 1.0;
     assert!(f64::from(retries) <= bound, "{retries} retries");
     assert!(f64::from(retries) >= 0.99 * bound, "{retries} retries");
 }
@@ -136,7 +136,7 @@
     let mut latencies = Vec::new();
     for i in 0..100_000_u64 {
         let started = Micros(i * 100);
-        budget.first_try(started);
+        budget.record_first_attempt(started);
         let (first, second) = (draw(), draw());
         let delay = policy.delay(RequestKind::Lookup).filter(|_| hedged).unwrap_or(ONE_SECOND);
         let at = started + delay;
--- a/crates/galenapath-policy/tests/shedding.rs
+++ b/crates/galenapath-policy/tests/shedding.rs
@@ -1,7 +1,9 @@
 //! Retry budget of a service whose servers reject half of their requests although they have free
 //! capacity.
 
-use galenapath_policy::{Chance, FailedRequests, RetryBudget, RetryConfig, SharedAllowance};
+use galenapath_policy::{
+    CallerAttempt, FailedRequests, RetryBudget, RetryConfig, SharedRetryBudget,
+};
 use galenapath_protocol::Micros;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -17,8 +19,8 @@
 const MAX_SENDS: u32 = 3;
 /// Delay after which a caller sends a failed request again.
 const REPEAT_DELAY: Micros = Micros::from_millis(25);
-const SHARED_BUDGET: SharedAllowance =
-    SharedAllowance { ratio: 0.2, slack: 430.0, window: Micros::from_secs(10) };
+const SHARED_BUDGET: SharedRetryBudget =
+    SharedRetryBudget { ratio: 0.2, slack: 430.0, window: Micros::from_secs(10) };
 
 struct Outcome {
     /// Fraction of the requests that were served.
@@ -51,15 +53,15 @@
         let instance = (n % INSTANCES as u64) as usize;
         attempts_made += 1;
         let is_repeated = failed[instance].take(now, u128::from(n)).is_some();
-        let chance = if is_repeated && repeated == Repeated::Recognized {
-            Chance::Last
+        let attempt = if is_repeated && repeated == Repeated::Recognized {
+            CallerAttempt::Repeated
         } else {
-            Chance::First
+            CallerAttempt::First
         };
-        budgets[instance].first_try(now);
+        budgets[instance].record_first_attempt(now);
         let mut is_served = !rng.random_bool(SHED);
         for _ in 1..MAX_SENDS {
-            if is_served || !budgets[instance].try_retry_for(now, chance) {
+            if is_served || !budgets[instance].try_retry_for(now, attempt) {
                 break;
             }
             retries += 1;
@@ -67,7 +69,7 @@
         }
         served += u64::from(is_served);
         if !is_served && !is_repeated {
-            failed[instance].note(now, u128::from(n), now);
+            failed[instance].record(now, u128::from(n), now);
             attempts.push(std::cmp::Reverse((now + REPEAT_DELAY, n)));
         }
     }
@@ -79,7 +81,7 @@
 
 fn mean(cfg: &RetryConfig, repeated: Repeated) -> Outcome {
     let runs: Vec<Outcome> = (1..=8).map(|seed| simulate(cfg, repeated, seed)).collect();
-    let of = |part: fn(&Outcome) -> f64| runs.iter().map(part).sum::<f64>() / runs.len() as f64;
+    let of = |field: fn(&Outcome) -> f64| runs.iter().map(field).sum::<f64>() / runs.len() as f64;
     Outcome { served: of(|o| o.served), retries: of(|o| o.retries) }
 }
 
@@ -87,7 +89,7 @@
 fn split_evenly() -> RetryConfig {
     let window = SHARED_BUDGET.window.0 as f64 / 1e6;
     RetryConfig {
-        share: SHARED_BUDGET.ratio * 0.7,
+        ratio: SHARED_BUDGET.ratio * 0.7,
         floor_per_second: SHARED_BUDGET.slack / window / 16.0 / 2.0,
         burst: 3.0,
     }
@@ -96,9 +98,9 @@
 #[test]
 fn budget_by_share_serves_more_than_even_split() {
     let even = mean(&split_evenly(), Repeated::Unrecognized);
-    let part = SHARED_BUDGET.part(1.0 / INSTANCES as f64);
-    let unrecognized = mean(&part, Repeated::Unrecognized);
-    let recognized = mean(&part, Repeated::Recognized);
+    let by_share = SHARED_BUDGET.for_share(1.0 / INSTANCES as f64);
+    let unrecognized = mean(&by_share, Repeated::Unrecognized);
+    let recognized = mean(&by_share, Repeated::Recognized);
     println!("split evenly {:.3} of retries {:.3}", even.served, even.retries);
     println!("by share {:.3} of retries {:.3}", unrecognized.served, unrecognized.retries);
     println!(
@@ -111,8 +113,8 @@
 
 #[test]
 fn budget_sum_within_bound() {
-    let part = SHARED_BUDGET.part(1.0 / INSTANCES as f64);
-    let outcome = mean(&part, Repeated::Recognized);
+    let by_share = SHARED_BUDGET.for_share(1.0 / INSTANCES as f64);
+    let outcome = mean(&by_share, Repeated::Recognized);
     // The slack of a window is divided by its first attempts only; repeated attempts are not
     // counted.
     let attempts = RATE as f64 * 10.0;
--- a/crates/galenapath-policy/tests/support/sim.rs
+++ b/crates/galenapath-policy/tests/support/sim.rs
@@ -1,8 +1,8 @@
 //! The simulation: request streams, instances with admission, and backend servers with slots.
 
 use galenapath_policy::{
-    Admission, AdmissionConfig, ClassPolicy, Decision, Offer, Outcome, RejectReason, Rejection,
-    Step, WorkspaceIndex,
+    Admission, AdmissionConfig, ClassPolicy, Decision, Offer, Outcome, QueuedDecision,
+    RejectReason, Rejection, WorkspaceIndex,
 };
 use galenapath_protocol::Micros;
 use rand::rngs::StdRng;
@@ -157,7 +157,8 @@
         let instance = |i: usize| {
             let mut admission = Admission::new(cfg.admission.clone(), cfg.seed ^ i as u64);
             admission.set_classes(&classes);
-            let workspaces = cfg.streams.iter().map(|s| admission.workspace(s.workspace)).collect();
+            let workspaces =
+                cfg.streams.iter().map(|s| admission.workspace_index(s.workspace)).collect();
             Instance { admission, workspaces, in_flight: 0, wake: None }
         };
         let server = || Server { assigned: 0, queue: VecDeque::new(), running: 0, factor: 1.0 };
@@ -294,13 +295,15 @@
     }
 
     fn poll(&mut self, i: usize) {
-        let mut steps = Vec::new();
+        let mut decisions = Vec::new();
         self.set_capacity(i);
-        self.instances[i].admission.poll(self.now, &mut steps);
-        for step in steps {
-            match step {
-                Step::Start(ticket) => self.start(ticket as usize),
-                Step::Reject(ticket, rejection) => self.reject(ticket as usize, rejection),
+        self.instances[i].admission.poll(self.now, &mut decisions);
+        for decision in decisions {
+            match decision {
+                QueuedDecision::Start(ticket) => self.start(ticket as usize),
+                QueuedDecision::Reject(ticket, rejection) => {
+                    self.reject(ticket as usize, rejection)
+                }
             }
         }
         let wake = self.instances[i].admission.next_wake().map(|at| at.max(self.now + Micros(1)));
