--- a/crates/galenapath-policy/src/admission/admitted_load.rs
+++ b/crates/galenapath-policy/src/admission/admitted_load.rs
@@ -3,7 +3,7 @@
 //! Load pattern: a few workspaces send most of the load, to a few instances. If all of it counted,
 //! callers would be directed to the other instances until those are full of small workspaces, whose
 //! requests then wait although their total load is far below capacity. The requests of a workspace
-//! far above the others yield to new ones of other workspaces (see `fair_queue`), so they count
+//! far above the others do not delay those of other workspaces (see `fair_queue`), so they count
 //! only up to twice the mean of all workspaces.
 
 use super::offer::WorkspaceIndex;
--- a/crates/galenapath-policy/src/admission/controller.rs
+++ b/crates/galenapath-policy/src/admission/controller.rs
@@ -170,7 +170,7 @@
                 self.lane_mut(running.length).observe_latency(latency);
                 self.limit.record_answer(now, excess, in_flight);
             }
-            Outcome::Shed | Outcome::TimedOut => self.limit.record_failure(now, in_flight),
+            Outcome::Shed | Outcome::TimedOut => self.limit.record_shed(now, in_flight),
             Outcome::FastFailure | Outcome::Failure | Outcome::Cancelled => {}
         }
     }
@@ -187,8 +187,8 @@
     /// the number of requests admitted since the last call, counting at most twice the mean of all
     /// workspaces for each.
     ///
-    /// Rejected requests cause no work, and requests of a workspace above the others yield to
-    /// theirs.
+    /// Rejected requests cause no work, and the requests of a workspace far above the others do not
+    /// delay those of other workspaces.
     pub fn take_load(&mut self) -> f64 {
         self.admitted_load.take()
     }
--- a/crates/galenapath-policy/src/admission/limit.rs
+++ b/crates/galenapath-policy/src/admission/limit.rs
@@ -51,7 +51,7 @@
     compared: u32,
     answered: u32,
     /// Number of requests that were shed or timed out.
-    failed: u32,
+    shed: u32,
     /// Maximum number of requests in flight.
     peak: u32,
 }
@@ -81,7 +81,7 @@
     /// Tolerated share of requests that are shed or time out. A tenth allows for what backend
     /// servers with short queues shed by chance, which the retry budget can cover. With a fiftieth,
     /// a quarter of their slots stayed empty.
-    const TOLERATED_FAILURES: f64 = 0.1;
+    const TOLERATED_SHED_SHARE: f64 = 0.1;
     /// Fraction of the learned limit from which it counts as used up.
     const USED_UP_RATIO: f64 = 0.9;
     /// Cap of the limit as a multiple of the learned limit. It allows for a burst into slots that
@@ -158,8 +158,8 @@
     }
 
     /// Records a request that was shed or timed out; `in_flight` includes the request.
-    pub fn record_failure(&mut self, now: Micros, in_flight: u32) {
-        self.window.failed += 1;
+    pub fn record_shed(&mut self, now: Micros, in_flight: u32) {
+        self.window.shed += 1;
         self.record_end(now, in_flight);
     }
 
@@ -169,7 +169,7 @@
             return;
         }
         self.window.peak = self.window.peak.max(in_flight);
-        let ended = self.window.answered + self.window.failed;
+        let ended = self.window.answered + self.window.shed;
         if now - self.window.started_at < Self::MIN_WINDOW || ended < Self::MIN_ENDED {
             return;
         }
@@ -180,12 +180,12 @@
 
     fn update(&mut self, now: Micros, window: &Window) {
         let peak = f64::from(window.peak);
-        let failed_share = f64::from(window.failed) / f64::from(window.answered + window.failed);
+        let shed_share = f64::from(window.shed) / f64::from(window.answered + window.shed);
         let inflation = window.inflation();
-        if failed_share > Self::TOLERATED_FAILURES {
+        if shed_share > Self::TOLERATED_SHED_SHARE {
             self.normal_peak.clear();
             self.start_cap(now, peak);
-            self.learned = (self.learned.min(peak) * (1.0 - failed_share / 2.0)).max(1.0);
+            self.learned = (self.learned.min(peak) * (1.0 - shed_share / 2.0)).max(1.0);
         } else if inflation > self.cfg.tolerated_inflation {
             if inflation > Self::CAP_INFLATION {
                 self.start_cap(now, peak);
--- a/crates/galenapath-policy/src/admission/overload.rs
+++ b/crates/galenapath-policy/src/admission/overload.rs
@@ -1,8 +1,8 @@
 //! Distinguishes a lasting overload from a burst.
 //!
 //! Load pattern: more load than capacity, for longer than a burst. Arrivals then fill the queue up
-//! to its limit, and every admitted request waits for the whole allowed wait although no more
-//! requests are served than with a short queue. A burst, on the other hand, needs the whole allowed
+//! to its limit, and every admitted request waits as long as allowed, although no more requests are
+//! served than with a short queue. A burst, on the other hand, needs the whole allowed
 //! wait, and so does a small service at normal load, where a queue of a few requests can by chance
 //! last for tens of milliseconds. As in CoDel, an overload is detected when the wait does not fall
 //! below a small fraction of the allowed wait for a whole interval.
--- a/crates/galenapath-policy/tests/shedding.rs
+++ b/crates/galenapath-policy/tests/shedding.rs
@@ -1,5 +1,6 @@
 //! Retry budget of a service whose servers reject half of their requests although they have free
-//! capacity.
+//! capacity. Guards against a split of the budget that leaves most of it unused while requests
+//! fail.
 
 use galenapath_policy::{
     CallerAttempt, FailedRequests, RetryBudget, RetryConfig, SharedRetryBudget,
