--- a/crates/galenapath-gateway/src/fleet/joining.rs
+++ b/crates/galenapath-gateway/src/fleet/joining.rs
@@ -5,7 +5,7 @@
 use crate::instance::{Instance, sleep};
 use crate::usage::Flow;
 use galenapath_membership::{Learned, Member};
-use galenapath_policy::LineKind;
+use galenapath_policy::LogLineKind;
 use galenapath_protocol::Micros;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -101,7 +101,7 @@
     let learned = instance.membership.borrow_mut().learn(now, member);
     // The budget keeps hundreds of instances that start together from writing a line each on all of
     // them.
-    if learned == Learned::News && instance.may_log(LineKind::Peer) {
+    if learned == Learned::News && instance.may_log(LogLineKind::Peer) {
         log::info!(peer = joined.0, incarnation:% = joined.1; "instance joined");
     }
     learned
--- a/crates/galenapath-gateway/src/instance.rs
+++ b/crates/galenapath-gateway/src/instance.rs
@@ -13,7 +13,7 @@
 use galenapath_policy::dispatch::PeakLoad;
 use galenapath_policy::measure::{Crossings, QuestionTimes};
 use galenapath_policy::place::{Placement, spent};
-use galenapath_policy::{FailedRequests, LineBudget, LineKind};
+use galenapath_policy::{FailedRequests, LogLineBudget, LogLineKind};
 use galenapath_protocol::{DomainId, FastMap, Incarnation, Micros};
 use galenapath_routes::{Route, SplitTurn};
 use galenapath_settings::GatewaySettings;
@@ -67,7 +67,7 @@
     store_answered_at: Cell<Micros>,
     /// Requests in progress.
     pub(crate) in_progress: Cell<u32>,
-    line_budget: Cell<LineBudget>,
+    line_budget: Cell<LogLineBudget>,
     /// Durations of load queries to servers.
     query_times: Cell<QuestionTimes>,
     last_serving_at: Cell<Micros>,
@@ -119,7 +119,7 @@
             is_watching: Cell::new(false),
             store_answered_at: Cell::new(clock.now()),
             in_progress: Cell::new(0),
-            line_budget: Cell::new(LineBudget::new(settings.log_lines)),
+            line_budget: Cell::new(LogLineBudget::new(settings.log_lines)),
             query_times: Cell::default(),
             last_serving_at: Cell::new(Micros::ZERO),
             cross_domain_sends: Cell::default(),
@@ -211,7 +211,7 @@
     }
 
     /// Whether the budget allows a log line of this kind; counts the line as dropped if not.
-    pub(crate) fn may_log(&self, kind: LineKind) -> bool {
+    pub(crate) fn may_log(&self, kind: LogLineKind) -> bool {
         let mut budget = self.line_budget.get();
         let fits = budget.take(self.now(), kind);
         self.line_budget.set(budget);
--- a/crates/galenapath-gateway/src/notices.rs
+++ b/crates/galenapath-gateway/src/notices.rs
@@ -9,7 +9,7 @@
 use crate::probe;
 use crate::service::Service;
 use crate::usage::Flow;
-use galenapath_policy::LineKind;
+use galenapath_policy::LogLineKind;
 use galenapath_policy::place::{Placement, RateLimit};
 use galenapath_protocol::{BackendId, Micros};
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
             return false;
         }
         probe::assign_warming_and_limits(self);
-        if self.may_log(LineKind::Peer) {
+        if self.may_log(LogLineKind::Peer) {
             let (is_limited, limit) =
                 (rate_limit.per_second.is_some(), rate_limit.per_second.unwrap_or(0.0));
             log::info!(server:% = id, is_limited, limit, told_by = source;
@@ -60,7 +60,7 @@
             return false;
         }
         service.placement.borrow_mut().mark_leaving(id);
-        if self.may_log(LineKind::Peer) {
+        if self.may_log(LogLineKind::Peer) {
             log::info!(server:% = id, told_by = source; "server is leaving");
         }
         true
--- a/crates/galenapath-gateway/src/request.rs
+++ b/crates/galenapath-gateway/src/request.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use galenapath_filings::Fingerprint;
 use galenapath_http::{Framing, RequestHead, strip_hop_by_hop};
-use galenapath_policy::Chance;
+use galenapath_policy::CallerAttempt;
 use galenapath_protocol::Micros;
 use galenapath_routes::Route;
 use http::Method;
@@ -28,7 +28,7 @@
     /// Identifies requests for the same work.
     pub(crate) fingerprint: Fingerprint,
     /// Whether the caller has sent the same request before.
-    pub(crate) caller_attempt: Chance,
+    pub(crate) caller_attempt: CallerAttempt,
     /// When the caller's first attempt arrived, as far as known.
     pub(crate) first_at: Micros,
     /// When the head was read.
--- a/crates/galenapath-gateway/src/server_answer.rs
+++ b/crates/galenapath-gateway/src/server_answer.rs
@@ -6,7 +6,7 @@
 use crate::notices::limit_note;
 use crate::service::Service;
 use galenapath_http::ResponseHead;
-use galenapath_policy::LineKind;
+use galenapath_policy::LogLineKind;
 use galenapath_policy::place::RateLimit;
 use galenapath_protocol::{BackendId, Micros};
 use http::StatusCode;
@@ -79,7 +79,7 @@
         let Some(span) = pause(self.head) else { return };
         let (instance, id) = (self.instance, self.id);
         let is_update = self.service.placement.borrow_mut().pause(instance.now(), id, span);
-        if is_update && instance.may_log(LineKind::Peer) {
+        if is_update && instance.may_log(LogLineKind::Peer) {
             let (for_ms, told_by) = (span.0 / 1_000, self.kind.as_str());
             log::info!(server:% = id, for_ms, told_by; "server paused");
         }
--- a/crates/galenapath-gateway/src/state.rs
+++ b/crates/galenapath-gateway/src/state.rs
@@ -4,7 +4,7 @@
 use crate::instance::Instance;
 use crate::leaving::LeavingServers;
 use galenapath_platform::{Item, KeyEvent};
-use galenapath_policy::LineKind;
+use galenapath_policy::LogLineKind;
 use galenapath_protocol::{BackendId, Micros};
 use galenapath_routes::{
     Change, Directory, Evacuations, ListNews, ListedServer, Removal, RouteTable, ServerChanges,
@@ -212,7 +212,7 @@
     /// Counts and logs an entry under the servers' key prefix that cannot be parsed as a server.
     fn report_unreadable_entry(&self, id: &str, revision: u64, error: &str) {
         self.metrics.unreadable_entries.inc();
-        if self.may_log(LineKind::Failure) {
+        if self.may_log(LogLineKind::Failure) {
             log::warn!(server = id, revision, error; "entry names no server");
         }
     }
--- a/crates/galenapath-policy/src/admission/mod.rs
+++ b/crates/galenapath-policy/src/admission/mod.rs
@@ -1,5 +1,6 @@
-//! What is let in, what waits and for how long, and what is turned away.
+//! Admission control: which requests start, which wait and for how long, and which are rejected.
 
+mod admitted_load;
 mod classes;
 mod config;
 mod controller;
@@ -11,13 +12,12 @@
 mod limit;
 mod offer;
 mod overload;
-mod own_load;
 mod recent;
-mod returns;
-mod turn_away;
+mod rejection;
+mod retry_after;
 mod workspaces;
 
 pub use config::{AdmissionConfig, LimitConfig, LimitRule};
 pub use controller::Admission;
-pub use decision::{Decision, RejectReason, Rejection, Step};
+pub use decision::{Decision, QueuedDecision, RejectReason, Rejection};
 pub use offer::{ClassIndex, ClassPolicy, Offer, Ticket, WorkLength, WorkspaceIndex};
