--- a/crates/galenapath-gateway/src/instance.rs
+++ b/crates/galenapath-gateway/src/instance.rs
@@ -11,7 +11,7 @@
 use galenapath_filings::{SuspectConfig, Suspects};
 use galenapath_membership::{BeatConfig, Beats, Member, MemberStatus, StoreHealth, Vitals};
 use galenapath_policy::dispatch::RecentLoad;
-use galenapath_policy::measure::{Crossings, QuestionTimes};
+use galenapath_policy::measure::{CrossDomainSends, QueryTimes};
 use galenapath_policy::place::{Placement, spent};
 use galenapath_policy::{FailedRequests, LineBudget, LineKind};
 use galenapath_protocol::{DomainId, FastMap, Incarnation, Micros};
@@ -68,9 +68,9 @@
     pub(crate) in_progress: Cell<u32>,
     lines: Cell<LineBudget>,
     /// How long questions to servers take here.
-    question_times: Cell<QuestionTimes>,
+    question_times: Cell<QueryTimes>,
     served_at: Cell<Micros>,
-    crossings: Cell<Crossings>,
+    crossings: Cell<CrossDomainSends>,
     /// When it last answered an accusation.
     pub(crate) accused_at: Cell<Micros>,
     /// Requests that callers send.
@@ -182,7 +182,7 @@
             store: self.store.get(),
             is_watching: self.is_watching.get(),
             serves_callers: self.now() - self.served_at.get() < SERVES_FOR,
-            crosses: self.crossings.get().crosses(self.now()),
+            crosses: self.crossings.get().is_cross_domain(self.now()),
             rate: self.rate.get().per_second(self.now()),
             capacity: self.capacity(),
             config_version: state.table().version(),
@@ -205,7 +205,7 @@
 
     /// A request is sent to a server, one of another failure domain where `is_away`.
     pub(crate) fn note_send(&self, is_away: bool) {
-        self.crossings.set(self.crossings.get().sent(self.now(), is_away));
+        self.crossings.set(self.crossings.get().with_send(self.now(), is_away));
     }
 
     /// Whether a log line about a request is written; counts it where it is not.
@@ -221,12 +221,12 @@
 
     /// Time for which a request waits for the answer to its question to a server.
     pub(crate) fn patience_with_questions(&self) -> Micros {
-        self.question_times.get().patience()
+        self.question_times.get().timeout()
     }
 
     /// A server has answered a question on an open connection after `took`.
     pub(crate) fn question_took(&self, took: Micros) {
-        self.question_times.set(self.question_times.get().with(took));
+        self.question_times.set(self.question_times.get().with_sample(took));
     }
 
     /// The store has answered this instance, or one whose heartbeat has come.
--- a/crates/galenapath-gateway/src/probe.rs
+++ b/crates/galenapath-gateway/src/probe.rs
@@ -9,7 +9,7 @@
 use crate::service::Service;
 use galenapath_http::{Connection, HttpError};
 use galenapath_membership::{Beats, Peer};
-use galenapath_policy::measure::{LimitShare, Prober, limit_share, prober, warmer};
+use galenapath_policy::measure::{LimitShare, Prober, limit_share, prober, warming_instance};
 use galenapath_protocol::{BackendId, FastMap, Micros};
 use monoio::net::TcpStream;
 use std::net::SocketAddr;
@@ -121,7 +121,7 @@
     for service in instance.services.borrow().values() {
         let domain = |id: &BackendId| service.domain(id).filter(|_| may_send);
         let is_ours = |id: &BackendId| {
-            domain(id).is_some_and(|domain| warmer(&probing, &domain, id) == Some(own))
+            domain(id).is_some_and(|domain| warming_instance(&probing, &domain, id) == Some(own))
         };
         let share = |id: &BackendId, per_second: f64| {
             let share = |domain| limit_share(&probing, &domain, id, own, per_second);
@@ -142,13 +142,13 @@
         .map(|peer| Prober {
             incarnation: peer.member.incarnation,
             domain: &peer.member.domain,
-            crosses: peer.vitals.crosses,
+            is_cross_domain: peer.vitals.crosses,
         })
         .collect();
     probing.push(Prober {
         incarnation: instance.incarnation,
         domain: beats.domain(),
-        crosses: instance.vitals().crosses,
+        is_cross_domain: instance.vitals().crosses,
     });
     probing
 }
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -5,7 +5,7 @@
 use crate::pool::{Kept, Pools};
 use crate::waiting::Waiter;
 use galenapath_http::Connection;
-use galenapath_policy::measure::{AskBudget, AskShares};
+use galenapath_policy::measure::{QueryShares, TokenBucket};
 use galenapath_policy::place::{
     Line, PlaceConfig, PlacedServer, Placement, QueueConfig, Sighting, Started, WaitQueue, WarmUp,
 };
@@ -45,7 +45,7 @@
     /// Whether its failure domain is evacuated, so that it gets nothing.
     is_withdrawn: bool,
     /// This instance's part of the probes to it.
-    probes: AskBudget,
+    probes: TokenBucket,
 }
 
 /// Where a server is.
@@ -81,7 +81,7 @@
     /// When a request last asked for a server.
     used_at: Cell<Micros>,
     /// This instance's part of the probes, as far as `listed` has taken it over.
-    shares: Cell<Option<AskShares>>,
+    shares: Cell<Option<QueryShares>>,
 }
 
 impl Service {
@@ -165,7 +165,7 @@
                 cold_for: if has_turned_cold { record.cold_for.into() } else { Micros::ZERO },
             });
             let probes = before.map_or_else(
-                || AskBudget::new(now, self.probe_part(shares, is_home)),
+                || TokenBucket::new(now, self.probe_part(shares, is_home)),
                 |server| server.probes,
             );
             let record = Arc::clone(record);
@@ -309,7 +309,7 @@
     }
 
     /// Takes over which part of the budget of probes falls to this instance.
-    pub(crate) fn share_probes(&self, now: Micros, shares: AskShares) {
+    pub(crate) fn share_probes(&self, now: Micros, shares: QueryShares) {
         if self.shares.replace(Some(shares)) == Some(shares) {
             return;
         }
@@ -318,8 +318,8 @@
         }
     }
 
-    fn probe_part(&self, shares: AskShares, is_home: bool) -> f64 {
-        self.probe_rate.get() * if is_home { shares.home } else { shares.away }
+    fn probe_part(&self, shares: QueryShares, is_home: bool) -> f64 {
+        self.probe_rate.get() * if is_home { shares.local } else { shares.remote }
     }
 
     /// Takes a probe out of this instance's part of the budget of a server.
--- a/crates/galenapath-gateway/src/serving.rs
+++ b/crates/galenapath-gateway/src/serving.rs
@@ -2,7 +2,7 @@
 
 use crate::instance::Instance;
 use galenapath_membership::Peer;
-use galenapath_policy::measure::{AskShares, ServedRates};
+use galenapath_policy::measure::{QueryShares, ServedRates};
 use galenapath_protocol::{DomainId, FastSet};
 
 /// Requests a second that one core takes with ease. A request with its question to the server takes
@@ -47,7 +47,7 @@
     }
 
     /// Which part of the questions to the servers this instance may ask.
-    pub(crate) fn ask_shares(&self) -> AskShares {
+    pub(crate) fn ask_shares(&self) -> QueryShares {
         let domain = self.settings().domain.clone();
         let vitals = self.vitals();
         let beats = self.beats.borrow();
@@ -55,9 +55,9 @@
         let mut domains: FastSet<&DomainId> = others().map(|peer| &peer.member.domain).collect();
         domains.insert(&domain);
         let at_home = others().filter(|peer| peer.member.domain == domain);
-        AskShares::by_rates(&ServedRates {
+        QueryShares::from_rates(&ServedRates {
             own: vitals.serves_callers.then_some(vitals.rate),
-            others_at_home: serving(at_home).map(|peer| peer.vitals.rate).sum(),
+            others_in_domain: serving(at_home).map(|peer| peer.vitals.rate).sum(),
             domains: u32::try_from(domains.len()).unwrap_or(u32::MAX),
         })
     }
--- a/crates/galenapath-policy/src/measure/budget.rs
+++ b/crates/galenapath-policy/src/measure/budget.rs
@@ -1,28 +1,28 @@
 //! The budget of probes to one backend server.
 //!
-//! Load pattern: a fleet of dispatchers that each want fresh reports from every backend server.
-//! Without a hard budget, probes grow with dispatchers times servers and take capacity from
-//! requests just when load peaks. All dispatchers share one token bucket per server by splitting
-//! it: each holds a bucket with its part of the rate, so that no message is needed to agree and
-//! the sum stays within the budget whatever each of them does.
+//! Load pattern: a fleet of dispatchers that each need fresh load reports from every backend
+//! server. Without a hard budget, probes grow with dispatchers times servers and take capacity from
+//! requests just when load peaks. All dispatchers split one token bucket per server: each holds a
+//! bucket with its share of the rate, so that they need no messages to agree and the sum stays
+//! within the budget whatever each of them does.
 
 use galenapath_protocol::Micros;
 
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
-/// One dispatcher's part of the probe budget of one backend server.
+/// One dispatcher's share of the probe budget of one backend server.
 ///
-/// It starts empty: an instance that restarts often gains no probes by it.
+/// It starts empty, so that frequent restarts gain an instance no probes.
 #[derive(Clone, Debug)]
 pub struct ProbeBudget {
     /// Time between two probes; never zero. No probe at all when `None`.
     interval: Option<Micros>,
-    /// Moment from which the next probe is allowed.
+    /// Time from which the next probe is allowed.
     next_at: Micros,
 }
 
 impl ProbeBudget {
-    /// Part of one of `dispatchers` of a budget of `rate` probes per second, from `now` on.
+    /// Creates the share of one of `dispatchers` of a budget of `rate` probes per second.
     pub fn new(now: Micros, rate: f64, dispatchers: u32) -> Self {
         let mut budget = Self { interval: None, next_at: now };
         budget.interval = interval(rate, dispatchers);
@@ -30,8 +30,8 @@
         budget
     }
 
-    /// Changes the part. A probe that was already earned is kept; a later one waits for the
-    /// longer interval.
+    /// Changes the share. A probe that is already due stays due; otherwise the next one waits for
+    /// at least the new interval.
     pub fn set_share(&mut self, now: Micros, rate: f64, dispatchers: u32) {
         let changed = interval(rate, dispatchers);
         if changed != self.interval {
@@ -45,9 +45,9 @@
         self.interval.is_some() && now >= self.next_at
     }
 
-    /// Takes one probe out of the budget; false when there is none.
+    /// Takes one probe out of the budget; returns false when there is none.
     ///
-    /// Unused probes are not saved up: the bucket holds one.
+    /// Unused probes do not accumulate: the bucket holds one.
     pub fn take(&mut self, now: Micros) -> bool {
         let Some(interval) = self.interval.filter(|_| now >= self.next_at) else {
             return false;
--- a/crates/galenapath-policy/src/measure/mod.rs
+++ b/crates/galenapath-policy/src/measure/mod.rs
@@ -1,15 +1,15 @@
-//! Measuring backend servers inside a hard budget.
+//! Measuring the load of backend servers within a hard budget.
 
-mod asks;
 mod budget;
-mod crossings;
+mod cross_domain;
 mod probers;
-mod question_times;
-mod shares;
+mod query_shares;
+mod query_times;
+mod token_bucket;
 
-pub use asks::AskBudget;
 pub use budget::ProbeBudget;
-pub use crossings::Crossings;
-pub use probers::{LimitShare, Prober, limit_share, prober, warmer};
-pub use question_times::QuestionTimes;
-pub use shares::{AskShares, ServedRates};
+pub use cross_domain::CrossDomainSends;
+pub use probers::{LimitShare, Prober, limit_share, prober, warming_instance};
+pub use query_shares::{QueryShares, ServedRates};
+pub use query_times::QueryTimes;
+pub use token_bucket::TokenBucket;
--- a/crates/galenapath-policy/src/place/rate_limit.rs
+++ b/crates/galenapath-policy/src/place/rate_limit.rs
@@ -10,7 +10,7 @@
 
 use super::placement::Placement;
 use super::server::Server;
-use crate::measure::{AskBudget, LimitShare};
+use crate::measure::{LimitShare, TokenBucket};
 use galenapath_protocol::{BackendId, Micros};
 
 /// Part of a limit by which it has to change to be news.
@@ -53,7 +53,7 @@
     ended_at: Option<Micros>,
     share: LimitShare,
     /// Invariant: empty whenever the part that falls to this instance was nothing before.
-    budget: AskBudget,
+    budget: TokenBucket,
 }
 
 impl Default for Limited {
@@ -63,7 +63,7 @@
             confirmed_at: Micros::ZERO,
             ended_at: None,
             share: LimitShare::NONE,
-            budget: AskBudget::empty(Micros::ZERO, 0.0, SAVED),
+            budget: TokenBucket::empty(Micros::ZERO, 0.0, SAVED),
         }
     }
 }
@@ -85,14 +85,14 @@
 
     /// Whether the server can take one more request of this instance now.
     pub(super) fn has_room(&self, now: Micros) -> bool {
-        self.per_second().is_none() || (self.is_ours() && self.budget.has(now))
+        self.per_second().is_none() || (self.is_ours() && self.budget.has_token(now))
     }
 
     /// Time until it takes one more request of this instance; `None` where no part of the limit falls to it.
     pub(super) fn room_in(&self, now: Micros) -> Option<Micros> {
         match self.per_second() {
             None => Some(Micros::ZERO),
-            Some(_) => self.is_ours().then(|| self.budget.next_in(now)),
+            Some(_) => self.is_ours().then(|| self.budget.time_until_token(now)),
         }
     }
 
@@ -132,7 +132,7 @@
         let limit = self.per_second().unwrap_or(0.0).max(LEAST_RATE);
         let rate = limit * share.part;
         if !self.is_ours() {
-            self.budget = AskBudget::empty(now, rate, SAVED);
+            self.budget = TokenBucket::empty(now, rate, SAVED);
         }
         self.budget.set_rate(now, rate);
         self.share = share;
@@ -211,9 +211,10 @@
 
     /// What of that this instance is to tell all others again.
     pub fn limits_told_again(&self, now: Micros) -> Vec<(BackendId, RateLimit)> {
-        let is_first = |id: &BackendId| self.server(id).is_some_and(|s| s.limited.share.is_first);
+        let is_broadcaster =
+            |id: &BackendId| self.server(id).is_some_and(|s| s.limited.share.is_broadcaster);
         let mut told = self.limits_told(now);
-        told.retain(|(id, _)| is_first(id));
+        told.retain(|(id, _)| is_broadcaster(id));
         told
     }
 
--- a/crates/galenapath-policy/src/place/warming.rs
+++ b/crates/galenapath-policy/src/place/warming.rs
@@ -9,7 +9,7 @@
 
 use super::placement::Placement;
 use super::server::Server;
-use crate::measure::AskBudget;
+use crate::measure::TokenBucket;
 use galenapath_protocol::{BackendId, Micros};
 
 /// Seconds of its rate that a cold server may get at once, or one request: with those that an instance sends
@@ -30,12 +30,12 @@
 pub(super) struct Warming {
     /// Whether it falls to this instance to warm the server.
     is_ours: bool,
-    budget: AskBudget,
+    budget: TokenBucket,
 }
 
 impl Default for Warming {
     fn default() -> Self {
-        Self { is_ours: false, budget: AskBudget::saving(Micros::ZERO, 0.0, SAVED) }
+        Self { is_ours: false, budget: TokenBucket::with_burst(Micros::ZERO, 0.0, SAVED) }
     }
 }
 
@@ -51,12 +51,12 @@
 
     /// Whether a cold server may get one more request of this instance now.
     fn may_warm(&self, now: Micros) -> bool {
-        self.warming.is_ours && self.warming.budget.has(now)
+        self.warming.is_ours && self.warming.budget.has_token(now)
     }
 
     fn assign(&mut self, now: Micros, is_ours: bool, rate: f64) {
         if is_ours && !self.warming.is_ours {
-            self.warming.budget = AskBudget::saving(now, rate, SAVED);
+            self.warming.budget = TokenBucket::with_burst(now, rate, SAVED);
         }
         self.warming.is_ours = is_ours;
         self.warming.budget.set_rate(now, rate);
--- a/crates/galenapath-policy/tests/measure/budget.rs
+++ b/crates/galenapath-policy/tests/measure/budget.rs
@@ -1,3 +1,5 @@
+//! The probe budget of a server.
+
 use galenapath_policy::measure::ProbeBudget;
 use galenapath_protocol::Micros;
 use proptest::prelude::*;
@@ -24,26 +26,26 @@
 }
 
 proptest! {
-    /// All dispatchers together stay inside the budget in every whole second, whenever they ask.
+    /// The sum over all dispatchers stays within the budget at any time, whenever they take probes.
     #[test]
     fn take_sum_within_budget(
         rate in 1u32..200,
         dispatchers in 1u32..20,
-        asks in proptest::collection::vec((0usize..20, 0u64..5 * SECOND), 1..2_000),
+        takes in proptest::collection::vec((0usize..20, 0u64..5 * SECOND), 1..2_000),
     ) {
         let new = |_| ProbeBudget::new(Micros::ZERO, f64::from(rate), dispatchers);
         let mut budgets: Vec<_> = (0..dispatchers).map(new).collect();
-        let mut asks = asks;
-        asks.sort_by_key(|(_, at)| *at);
+        let mut takes = takes;
+        takes.sort_by_key(|(_, at)| *at);
         let mut taken = 0;
-        for (i, at) in asks {
+        for (i, at) in takes {
             let i = i % budgets.len();
             taken += u64::from(budgets[i].take(Micros(at)));
             prop_assert!(taken * SECOND <= u64::from(rate) * at);
         }
     }
 
-    /// A change of the number of dispatchers gives no probe too many.
+    /// A change of the number of dispatchers does not allow more probes than the budget.
     #[test]
     fn set_share_no_probe_gained(changes in proptest::collection::vec(1u32..20, 1..200)) {
         let mut budget = ProbeBudget::new(Micros::ZERO, 10.0, 1);
--- a/crates/galenapath-policy/tests/measure/main.rs
+++ b/crates/galenapath-policy/tests/measure/main.rs
@@ -1,8 +1,8 @@
-//! Tests of measuring.
+//! Tests of the `measure` module.
 
-mod asks;
 mod budget;
-mod crossings;
+mod cross_domain;
 mod probers;
-mod question_times;
-mod shares;
+mod query_shares;
+mod query_times;
+mod token_bucket;
--- a/crates/galenapath-policy/tests/measure/probers.rs
+++ b/crates/galenapath-policy/tests/measure/probers.rs
@@ -1,4 +1,4 @@
-//! Who probes which server.
+//! Assignment of probes and of rate limit shares.
 
 use galenapath_policy::measure::{LimitShare, Prober, limit_share, prober};
 use galenapath_protocol::{BackendId, DomainId, Incarnation};
@@ -12,13 +12,13 @@
 }
 
 #[test]
-fn prober_at_home_shares_out() {
+fn prober_spreads_servers_over_local_instances() {
     let domains = [domain(0), domain(1)];
     let probing: Vec<Prober<'_>> = (0..6)
         .map(|n| Prober {
             incarnation: Incarnation(n),
             domain: &domains[(n % 2) as usize],
-            crosses: true,
+            is_cross_domain: true,
         })
         .collect();
     let chosen: Vec<u64> =
@@ -31,21 +31,22 @@
 }
 
 #[test]
-fn prober_of_a_domain_where_nobody_probes_is_one_that_crosses() {
+fn prober_of_domain_without_instances_sends_across_domains() {
     let home = domain(0);
-    let at = |n, crosses| Prober { incarnation: Incarnation(n), domain: &home, crosses };
+    let at =
+        |n, is_cross_domain| Prober { incarnation: Incarnation(n), domain: &home, is_cross_domain };
     assert_eq!(prober(&[at(1, false), at(2, false)], &domain(9), &id(1)), None);
     assert_eq!(prober(&[at(1, false), at(2, true)], &domain(9), &id(1)), Some(Incarnation(2)));
 }
 
 #[test]
-fn limit_share_adds_up_among_as_many_as_get_a_request_a_second() {
+fn limit_share_adds_up_with_one_request_per_second_each() {
     let domains = [domain(0), domain(1)];
     let probing: Vec<Prober<'_>> = (0..40)
         .map(|n| Prober {
             incarnation: Incarnation(n),
             domain: &domains[(n % 2) as usize],
-            crosses: false,
+            is_cross_domain: false,
         })
         .collect();
     for (per_second, sharers) in [(0.0, 1), (1.9, 1), (6.1, 6), (19.5, 19), (500.0, 20)] {
@@ -54,22 +55,23 @@
         let parts: Vec<f64> = shares.iter().map(|share| share.part).collect();
         assert!((parts.iter().sum::<f64>() - 1.0).abs() < 1e-9, "{per_second}");
         assert_eq!(parts.iter().filter(|part| **part > 0.0).count(), sharers, "{per_second}");
-        assert_eq!(shares.iter().filter(|share| share.is_first).count(), 1);
-        // All of them are in the server's own failure domain.
+        assert_eq!(shares.iter().filter(|share| share.is_broadcaster).count(), 1);
+        // Only instances of the server's own failure domain get shares.
         assert!((0..40).step_by(2).all(|n| share(n) == LimitShare::NONE));
     }
 }
 
 #[test]
-fn limit_share_of_a_domain_where_nobody_serves_goes_to_others() {
+fn limit_share_of_domain_without_instances_goes_to_others() {
     let home = domain(0);
-    let at = |n, crosses| Prober { incarnation: Incarnation(n), domain: &home, crosses };
+    let at =
+        |n, is_cross_domain| Prober { incarnation: Incarnation(n), domain: &home, is_cross_domain };
     let part = |probing: &[Prober<'_>], own| {
         limit_share(probing, &domain(9), &id(1), Incarnation(own), 1.0).part
     };
     assert!(part(&[at(1, false), at(2, true)], 2) > 0.5);
-    let calm = [at(1, false), at(2, false)];
-    assert!((part(&calm, 1) + part(&calm, 2) - 1.0).abs() < 1e-9);
-    // One that does not probe gets none.
-    assert!(part(&calm, 3) < 1e-9);
+    let no_cross_domain = [at(1, false), at(2, false)];
+    assert!((part(&no_cross_domain, 1) + part(&no_cross_domain, 2) - 1.0).abs() < 1e-9);
+    // An instance that does not probe gets no share.
+    assert!(part(&no_cross_domain, 3) < 1e-9);
 }
--- a/crates/galenapath-policy/tests/place/limited_fleet.rs
+++ b/crates/galenapath-policy/tests/place/limited_fleet.rs
@@ -26,7 +26,7 @@
 const OTHERS: usize = 2;
 
 /// The whole of a limit.
-pub const ALL: LimitShare = LimitShare { part: 1.0, is_first: true };
+pub const ALL: LimitShare = LimitShare { part: 1.0, is_broadcaster: true };
 
 /// What a run is drawn from.
 #[derive(Clone, Copy, Debug)]
@@ -137,7 +137,7 @@
             .map(|(_, node)| Prober {
                 incarnation: node.incarnation,
                 domain: &node.domain,
-                crosses: true,
+                is_cross_domain: true,
             })
             .collect();
         let mut shares = Vec::new();
--- a/crates/galenapath-policy/tests/place/pause.rs
+++ b/crates/galenapath-policy/tests/place/pause.rs
@@ -77,7 +77,7 @@
     // Other instances share the limit.
     assert_eq!(placement.takes_one_in(START, &[]), Some(PAUSE));
     assert_eq!(placement.takes_one_in(START, &[id(0)]), Some(PAUSE + PAUSE));
-    placement.share_limits(START, |_, _| LimitShare { part: 1.0, is_first: true });
+    placement.share_limits(START, |_, _| LimitShare { part: 1.0, is_broadcaster: true });
     assert_eq!(placement.takes_one_in(START, &[]), Some(Micros::from_secs(1)));
     placement.mark_leaving(&id(2));
     assert_eq!(placement.takes_one_in(START, &[id(0), id(1)]), None);
