--- a/crates/galenapath-gateway/src/call.rs
+++ b/crates/galenapath-gateway/src/call.rs
@@ -53,7 +53,7 @@
     /// The request is being sent to `server`.
     pub(crate) fn sent(&self, server: &BackendId) {
         let now = self.instance.now();
-        if let Some(seen) = self.service.placement.borrow().seen(server) {
+        if let Some(seen) = self.service.placement.borrow().last_observation(server) {
             let LoadReport { in_flight, slots, pace, .. } = seen.report;
             let age = (now - seen.at).0 / 1_000;
             let knowledge = format!("load{in_flight}/{slots}:pace{pace}:known{age}ms ");
@@ -122,22 +122,24 @@
         let kind = self.req.route.kind.as_str();
         let mut placement = self.service.placement.borrow_mut();
         if !matches!(result, Err(Fault::NotAsked)) {
-            placement.found(in_flight.started, !matches!(result, Err(Fault::Unfit)));
+            placement.record_fitness(in_flight.started, !matches!(result, Err(Fault::Unfit)));
         }
         match result {
-            Ok(reply) if reply.status.is_server_error() => placement.failed(now, server, 1.0),
+            Ok(reply) if reply.status.is_server_error() => {
+                placement.record_failure(now, server, 1.0)
+            }
             Ok(_) => {
-                placement.served(now, server, took, in_flight.started);
+                placement.record_success(now, server, took, in_flight.started);
                 let seconds = took.as_millis_f64() / 1_000.0;
                 let labels = [kind, self.service.name.as_str()];
                 self.instance.metrics.work.with_label_values(&labels).observe(seconds);
             }
             Err(Fault::Unreachable) => {
-                placement.failed(now, server, 1.0);
-                placement.not_reached(now, server);
+                placement.record_failure(now, server, 1.0);
+                placement.mark_unreachable(now, server);
             }
             Err(Fault::Unfit | Fault::NotAsked) => {}
-            Err(fault) => placement.failed(now, server, fault.weight()),
+            Err(fault) => placement.record_failure(now, server, fault.weight()),
         }
         drop(placement);
         let weight = match result {
--- a/crates/galenapath-gateway/src/exchange.rs
+++ b/crates/galenapath-gateway/src/exchange.rs
@@ -8,7 +8,7 @@
 use crate::reply::Reply;
 use crate::waiting::NoServer;
 use futures::future::{Either, select};
-use galenapath_policy::place::{Entry, Wanted, copies};
+use galenapath_policy::place::{PlacementRequest, QueueEntry, hedging};
 use galenapath_protocol::{BackendId, Micros, Verdict};
 use galenapath_routes::RouteKind;
 use http::StatusCode;
@@ -84,7 +84,7 @@
             Ok(in_flight) => in_flight,
             Err(NoServer::Refused(refusal)) => {
                 note_shortage(call);
-                call.note(&format!("refused:predicted{}ms ", refusal.predicted.0 / 1_000));
+                call.note(&format!("refused:predicted{}ms ", refusal.predicted_wait.0 / 1_000));
                 let mut failure = ended(call, "no_room", StatusCode::BAD_GATEWAY);
                 failure.retry_after = failure.retry_after.map(|_| refusal.retry_after);
                 return fallback.ok_or(failure);
@@ -127,20 +127,20 @@
     // What is known of the others is older, so that they may be better by now.
     let passed_over: Vec<BackendId> =
         call.tried.borrow().iter().chain(&*call.unfit.borrow()).cloned().collect();
-    let entry = Entry {
+    let entry = QueueEntry {
         ticket: req.ticket,
         rank: req.route.rank,
         arrived: req.arrived,
         target: req.target_at,
         deadline: req.deadline,
-        is_picky: !passed_over.is_empty(),
+        has_exclusions: !passed_over.is_empty(),
     };
     let is_large = req.route.kind == RouteKind::Download;
     call.service.placement.borrow_mut().assume_work(req.route.target.into());
-    let wanted = Wanted { entry, tried: passed_over, is_large };
+    let wanted = PlacementRequest { entry, tried: passed_over, is_large };
     let mut result = call.service.place(&call.instance, wanted).await;
     if matches!(result, Err(NoServer::Nowhere)) && !call.unfit.take().is_empty() {
-        let wanted = Wanted { entry, tried: call.tried.borrow().clone(), is_large };
+        let wanted = PlacementRequest { entry, tried: call.tried.borrow().clone(), is_large };
         result = call.service.place(&call.instance, wanted).await;
     }
     call.waited.set(call.waited.get() + (call.instance.now() - began));
@@ -150,7 +150,7 @@
 /// Time until a server takes the request when its caller comes back, where all have said that it is later.
 fn back_in(call: &Call) -> Option<Micros> {
     let placement = call.service.placement.borrow();
-    let left = placement.takes_one_in(call.instance.now(), &[])?;
+    let left = placement.time_until_accepting(call.instance.now(), &[])?;
     (left > Micros::ZERO).then_some(left)
 }
 
@@ -234,8 +234,8 @@
 /// none to come.
 async fn wait_for_copy(call: &Call, server: &BackendId) -> Option<InFlight> {
     let work = call.service.placement.borrow().work();
-    let early = copies::early_after(work, call.left_for_target());
-    let late = copies::late_after(work);
+    let early = hedging::early_after(work, call.left_for_target());
+    let late = hedging::late_after(work);
     let is_lost = call.service.lost_within(server, early).await;
     let is_ample = call.service.retries.borrow_mut().is_ample(call.instance.now());
     if (is_lost || is_ample)
@@ -247,7 +247,7 @@
     if let Some(copy) = place_copy(call) {
         return Some(copy);
     }
-    sleep(copies::silent_after(work) - late).await;
+    sleep(hedging::silent_after(work) - late).await;
     note_silence(call, server);
     place_copy(call)
 }
@@ -268,12 +268,12 @@
 }
 
 fn silent_after(call: &Call) -> Micros {
-    copies::silent_after(call.service.placement.borrow().work())
+    hedging::silent_after(call.service.placement.borrow().work())
 }
 
 fn note_silence(call: &Call, server: &BackendId) {
     let now = call.instance.now();
-    call.service.placement.borrow_mut().failed(now, server, SILENCE_WEIGHT);
+    call.service.placement.borrow_mut().record_failure(now, server, SILENCE_WEIGHT);
     call.instance.share_failure(&call.service, server, SILENCE_WEIGHT);
     call.note("silent ");
 }
--- a/crates/galenapath-gateway/src/fitness.rs
+++ b/crates/galenapath-gateway/src/fitness.rs
@@ -43,7 +43,7 @@
 
 fn asking(call: &Call, server: &BackendId) -> Asking {
     let (now, service) = (call.instance.now(), &call.service);
-    let seen = service.placement.borrow().seen(server);
+    let seen = service.placement.borrow().last_observation(server);
     let is_fresh = seen.is_some_and(|seen| now - seen.at <= FRESH_LOAD);
     // A question takes from what a server bears that names a limit, and few others send there.
     if is_fresh || !service.tells_load(now) || service.is_limited(server) {
--- a/crates/galenapath-gateway/src/health.rs
+++ b/crates/galenapath-gateway/src/health.rs
@@ -10,7 +10,7 @@
     response_framing,
 };
 use galenapath_policy::LineKind;
-use galenapath_policy::place::Sighting;
+use galenapath_policy::place::LoadObservation;
 use galenapath_protocol::{BackendId, Micros};
 use http::header::{HOST, HeaderMap, HeaderValue};
 use http::{Method, StatusCode};
@@ -28,7 +28,7 @@
 /// What a backend server said.
 pub(crate) struct Health {
     /// Its load, where it tells.
-    pub(crate) sighting: Option<Sighting>,
+    pub(crate) sighting: Option<LoadObservation>,
     /// Whether another server has the address.
     pub(crate) is_other: bool,
     /// The connection, where it can be used again.
@@ -60,7 +60,7 @@
     let mut body = BodyState::new(framing);
     while connection.read_body(&mut body).await?.is_some() {}
     instance.usage.count(Flow::Question, service.is_home(id), connection.take_carried());
-    service.placement.borrow_mut().reached(id);
+    service.placement.borrow_mut().mark_reachable(id);
     let is_other = is_other(instance, service, id, &head);
     if !is_other {
         note_warmth(instance, service, id, &head);
@@ -117,7 +117,7 @@
     id: &BackendId,
     head: &ResponseHead,
     at: Micros,
-) -> Option<Sighting> {
+) -> Option<LoadObservation> {
     let sighting = read(instance, head, at)?;
     if service.see(instance, id, sighting) {
         instance.share_load(service, id, sighting);
@@ -132,13 +132,13 @@
     service: &Service,
     id: &BackendId,
     head: &ResponseHead,
-) -> Option<Sighting> {
-    service.placement.borrow_mut().reached(id);
+) -> Option<LoadObservation> {
+    service.placement.borrow_mut().mark_reachable(id);
     let sighting = read(instance, head, instance.now())?;
     service.see(instance, id, sighting).then_some(sighting)
 }
 
-fn read(instance: &Instance, head: &ResponseHead, at: Micros) -> Option<Sighting> {
+fn read(instance: &Instance, head: &ResponseHead, at: Micros) -> Option<LoadObservation> {
     let text = head.headers.get(&instance.names.load)?.to_str().ok()?;
-    Some(Sighting { at, report: instance.dialect.load(text)? })
+    Some(LoadObservation { at, report: instance.dialect.load(text)? })
 }
--- a/crates/galenapath-gateway/src/in_flight.rs
+++ b/crates/galenapath-gateway/src/in_flight.rs
@@ -2,7 +2,7 @@
 
 use crate::instance::Instance;
 use crate::service::Service;
-use galenapath_policy::place::{Given, Sighting, Started};
+use galenapath_policy::place::{Assignment, LoadObservation, ServerSnapshot};
 use galenapath_protocol::BackendId;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,22 +13,26 @@
     instance: Rc<Instance>,
     pub(crate) server: BackendId,
     /// How the server looked.
-    pub(crate) started: Started,
+    pub(crate) started: ServerSnapshot,
     is_sent: Cell<bool>,
     /// What the server told of its load with the answer.
-    pub(crate) told: Cell<Option<Sighting>>,
+    pub(crate) told: Cell<Option<LoadObservation>>,
 }
 
 impl InFlight {
     /// Counts a request at `server`.
     pub(crate) fn start(service: &Rc<Service>, instance: &Rc<Instance>, server: BackendId) -> Self {
         let started = service.placement.borrow_mut().start(instance.now(), &server);
-        Self::started(service, instance, Given { server, started })
+        Self::started(service, instance, Assignment { server, snapshot: started })
     }
 
     /// Takes over a request that is counted already.
-    pub(crate) fn started(service: &Rc<Service>, instance: &Rc<Instance>, given: Given) -> Self {
-        let Given { server, started } = given;
+    pub(crate) fn started(
+        service: &Rc<Service>,
+        instance: &Rc<Instance>,
+        given: Assignment,
+    ) -> Self {
+        let Assignment { server, snapshot: started } = given;
         let (service, instance) = (Rc::clone(service), Rc::clone(instance));
         Self {
             service,
@@ -51,14 +55,14 @@
 
     fn count_sent(&self) {
         if !self.is_sent.replace(true) {
-            self.service.placement.borrow_mut().sent(&self.server);
+            self.service.placement.borrow_mut().mark_sent(&self.server);
         }
     }
 
     /// Tells the others of the slot that this request takes: they would fill it as well.
     fn share_load(&self) {
         let placement = self.service.placement.borrow();
-        let Some(seen) = placement.seen(&self.server) else { return };
+        let Some(seen) = placement.last_observation(&self.server) else { return };
         let load = placement.load(&self.server);
         self.instance.share_load(&self.service, &self.server, seen.with_load(load));
     }
--- a/crates/galenapath-gateway/src/instance.rs
+++ b/crates/galenapath-gateway/src/instance.rs
@@ -12,7 +12,7 @@
 use galenapath_membership::{BeatConfig, Beats, Member, MemberStatus, StoreHealth, Vitals};
 use galenapath_policy::dispatch::RecentLoad;
 use galenapath_policy::measure::{CrossDomainSends, QueryTimes};
-use galenapath_policy::place::{Placement, spent};
+use galenapath_policy::place::{Placement, time_spent};
 use galenapath_policy::{FailedRequests, LineBudget, LineKind};
 use galenapath_protocol::{DomainId, FastMap, Incarnation, Micros};
 use galenapath_routes::{Route, SplitTurn};
@@ -251,7 +251,7 @@
         self.metrics.leaving_servers.set(count(|placement, _| placement.leaving_count()));
         self.metrics.paused_servers.set(count(Placement::paused_count));
         for service in services.values() {
-            let age = seconds(service.placement.borrow().mean_age(now));
+            let age = seconds(service.placement.borrow().mean_observation_age(now));
             self.metrics.load_age.with_label_values(&[&service.name]).set(age);
         }
     }
@@ -297,7 +297,7 @@
             None => patience.entry(route.name.clone()).or_insert(told),
         };
         *longest = told.max(*longest);
-        (arrived + target) - spent(*longest, told)
+        (arrived + target) - time_spent(*longest, told)
     }
 
     /// Starts the shares of all routes anew, for a changed configuration.
--- a/crates/galenapath-gateway/src/notices.rs
+++ b/crates/galenapath-gateway/src/notices.rs
@@ -22,7 +22,7 @@
 
 /// What another instance is told of a limit.
 pub(crate) fn limit_note(now: Micros, id: &BackendId, word: RateLimit) -> LimitNote {
-    let RateLimit { per_second, said_at } = word;
+    let RateLimit { per_second, stated_at: said_at } = word;
     LimitNote { server: id.hash(), per_second, age: now - said_at }
 }
 
@@ -35,7 +35,7 @@
         word: RateLimit,
         told_by: &'static str,
     ) -> bool {
-        if !service.placement.borrow_mut().hear_limit(self.now(), id, word) {
+        if !service.placement.borrow_mut().update_limit(self.now(), id, word) {
             return false;
         }
         probe::share_scarce(self);
@@ -72,7 +72,7 @@
             service.refresh(self);
             for note in &notices.limits {
                 let Some(id) = service.by_hash(note.server) else { continue };
-                let word = RateLimit { per_second: note.per_second, said_at: now - note.age };
+                let word = RateLimit { per_second: note.per_second, stated_at: now - note.age };
                 self.hear_limit(&service, &id, word, "peer");
             }
             for id in notices.leaving.iter().filter_map(|hash| service.by_hash(*hash)) {
@@ -89,7 +89,7 @@
 
     /// Tells the instances that serve callers what is no news any more.
     fn tell_again(&self) {
-        let notices = self.notices(Placement::limits_told_again);
+        let notices = self.notices(Placement::limits_to_repeat);
         if notices.is_empty() {
             return;
         }
@@ -105,7 +105,8 @@
     /// own failure domain, so that it need not be told by the servers.
     pub(crate) fn tell_newcomer(&self, newcomer: SocketAddr) {
         let is_home = self.beats.borrow().is_home(&newcomer);
-        let limits = if is_home { Placement::limits_told } else { Placement::limits_told_again };
+        let limits =
+            if is_home { Placement::reportable_limits } else { Placement::limits_to_repeat };
         self.send_notices(&self.notices(limits), &[newcomer]);
     }
 
--- a/crates/galenapath-gateway/src/probe.rs
+++ b/crates/galenapath-gateway/src/probe.rs
@@ -128,8 +128,8 @@
             domain(id).map_or(LimitShare::NONE, share)
         };
         let mut placement = service.placement.borrow_mut();
-        placement.share_warming(now, is_ours);
-        placement.share_limits(now, share);
+        placement.assign_warming(now, is_ours);
+        placement.assign_limit_shares(now, share);
     }
 }
 
@@ -173,7 +173,7 @@
     let mut targets = targets.borrow_mut();
     let mut due = Vec::new();
     for target in targets.values_mut().filter(|target| target.is_due(now)) {
-        if !target.service.placement.borrow_mut().take_question(now, &target.id) {
+        if !target.service.placement.borrow_mut().try_take_query(now, &target.id) {
             continue;
         }
         target.is_running = true;
@@ -186,7 +186,7 @@
     fn is_due(&self, now: Micros) -> bool {
         !self.is_running
             && self.not_before <= now
-            && self.service.placement.borrow().look_at(now, &self.id) <= now
+            && self.service.placement.borrow().next_probe_at(now, &self.id) <= now
     }
 }
 
--- a/crates/galenapath-gateway/src/said.rs
+++ b/crates/galenapath-gateway/src/said.rs
@@ -90,7 +90,7 @@
             (None, Answered::Request) if !self.head.headers.contains_key(name) => self.sent_at,
             (None, _) => return,
         };
-        let word = RateLimit { per_second, said_at };
+        let word = RateLimit { per_second, stated_at: said_at };
         if instance.hear_limit(self.service, self.id, word, self.answered.as_str()) {
             let limits = vec![limit_note(instance.now(), self.id, word)];
             instance.tell(&Notices { limits, ..Notices::default() });
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -7,7 +7,8 @@
 use galenapath_http::Connection;
 use galenapath_policy::measure::{QueryShares, TokenBucket};
 use galenapath_policy::place::{
-    Line, PlaceConfig, PlacedServer, Placement, QueueConfig, Sighting, Started, WaitQueue, WarmUp,
+    LoadObservation, PlaceConfig, PlacedServer, Placement, PlacementQueue, QueueConfig,
+    ServerSnapshot, WaitQueue, WarmUp,
 };
 use galenapath_policy::{RetryBudget, RetryConfig, SharedAllowance};
 use galenapath_protocol::{BackendId, DomainId, FastMap, Micros, hash64};
@@ -70,7 +71,7 @@
     /// The servers by the short form of their identities.
     by_short_id: RefCell<FastMap<u32, BackendId>>,
     /// Requests that wait for a server.
-    pub(crate) line: RefCell<Line>,
+    pub(crate) line: RefCell<PlacementQueue>,
     /// Invariant: holds the tickets in `line` whose tasks wait.
     pub(crate) waiters: RefCell<FastMap<u64, Waiter>>,
     /// Probes a second to one server that the requests of all instances may use.
@@ -101,7 +102,7 @@
             losses: Losses::default(),
             listed: RefCell::default(),
             by_short_id: RefCell::default(),
-            line: RefCell::new(Line::new(WaitQueue::new(QueueConfig::default()))),
+            line: RefCell::new(PlacementQueue::new(WaitQueue::new(QueueConfig::default()))),
             waiters: RefCell::default(),
             probe_rate: Cell::new(instance.settings().probes_per_second * PROBE_PART),
             no_load_until: Cell::default(),
@@ -159,7 +160,7 @@
             list.push(PlacedServer {
                 id: run.clone(),
                 slots: record.slots,
-                is_home,
+                is_local: is_home,
                 is_leaving: record.state == ServerState::Leaving || state.leaving.contains(&run),
                 is_withdrawn,
                 cold_for: if has_turned_cold { record.cold_for.into() } else { Micros::ZERO },
@@ -181,7 +182,7 @@
 
     /// A server answers no probe.
     pub(crate) fn lost(&self, now: Micros, id: &BackendId) {
-        self.placement.borrow_mut().not_reached(now, id);
+        self.placement.borrow_mut().mark_unreachable(now, id);
         self.losses.tell(id);
     }
 
@@ -260,7 +261,12 @@
     }
 
     /// Whether a request that was given to a server as `started` says may still be sent there.
-    pub(crate) fn may_send(&self, instance: &Instance, id: &BackendId, started: Started) -> bool {
+    pub(crate) fn may_send(
+        &self,
+        instance: &Instance,
+        id: &BackendId,
+        started: ServerSnapshot,
+    ) -> bool {
         self.refresh(instance);
         self.placement.borrow().may_send(instance.now(), id, started)
     }
@@ -269,7 +275,7 @@
     /// cannot take it.
     pub(crate) fn send_again(&self, instance: &Instance, id: &BackendId) -> bool {
         self.refresh(instance);
-        self.placement.borrow_mut().send_again(instance.now(), id)
+        self.placement.borrow_mut().try_count_resend(instance.now(), id)
     }
 
     /// Whether a server names a rate limit.
@@ -278,8 +284,13 @@
     }
 
     /// Takes in what was seen of a server; returns whether it was news.
-    pub(crate) fn see(&self, instance: &Instance, id: &BackendId, sighting: Sighting) -> bool {
-        let is_news = self.placement.borrow_mut().see(id, sighting);
+    pub(crate) fn see(
+        &self,
+        instance: &Instance,
+        id: &BackendId,
+        sighting: LoadObservation,
+    ) -> bool {
+        let is_news = self.placement.borrow_mut().observe(id, sighting);
         if is_news {
             self.poll(instance);
         }
@@ -331,7 +342,7 @@
 /// How the servers of a service warm up.
 fn warm_up(spec: &ServiceSpec) -> Option<WarmUp> {
     let warm_up = spec.warm_up?;
-    Some(WarmUp { lasts: warm_up.lasts.into(), per_second: warm_up.per_second })
+    Some(WarmUp { duration: warm_up.lasts.into(), per_second: warm_up.per_second })
 }
 
 /// The retries that an instance may send which serves `part` of all requests.
--- a/crates/galenapath-gateway/src/sharing.rs
+++ b/crates/galenapath-gateway/src/sharing.rs
@@ -10,7 +10,7 @@
 use crate::service::Service;
 use crate::usage::Flow;
 use galenapath_membership::Peer;
-use galenapath_policy::place::Sighting;
+use galenapath_policy::place::LoadObservation;
 use galenapath_protocol::{BackendId, DomainId, FastMap, Micros};
 use std::future::poll_fn;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 /// Notes on the servers of one failure domain.
 #[derive(Default)]
 struct Notes {
-    loads: FastMap<BackendId, Sighting>,
+    loads: FastMap<BackendId, LoadObservation>,
     failures: FastMap<BackendId, f32>,
     /// Servers that are cold no more.
     warm: Vec<BackendId>,
@@ -37,7 +37,7 @@
 #[derive(Default)]
 pub(crate) struct Outbox {
     by_domain: FastMap<DomainId, Notes>,
-    told: FastMap<BackendId, Sighting>,
+    told: FastMap<BackendId, LoadObservation>,
     crashes: Vec<CrashNote>,
     /// Until when servers stay cold that have turned cold.
     turned_cold: FastMap<BackendId, Micros>,
@@ -57,8 +57,8 @@
         }
     }
 
-    fn add_load(&mut self, domain: DomainId, id: &BackendId, sighting: Sighting) {
-        let is_news = self.told.get(id).is_none_or(|told| sighting.is_news_after(told));
+    fn add_load(&mut self, domain: DomainId, id: &BackendId, sighting: LoadObservation) {
+        let is_news = self.told.get(id).is_none_or(|told| sighting.is_update_to(told));
         if is_news {
             self.by_domain.entry(domain).or_default().loads.insert(id.clone(), sighting);
             self.told.insert(id.clone(), sighting);
@@ -91,7 +91,7 @@
 impl Notes {
     /// The notes as they are sent now.
     fn at(self, now: Micros) -> Loads {
-        let load = |(id, seen): (BackendId, Sighting)| LoadNote {
+        let load = |(id, seen): (BackendId, LoadObservation)| LoadNote {
             server: id.short(),
             age: now - seen.at,
             report: seen.report,
@@ -109,7 +109,7 @@
 
 impl Instance {
     /// Tells the other instances what was seen of a server.
-    pub(crate) fn share_load(&self, service: &Service, id: &BackendId, sighting: Sighting) {
+    pub(crate) fn share_load(&self, service: &Service, id: &BackendId, sighting: LoadObservation) {
         let Some(domain) = service.domain(id) else { return };
         self.outbox.borrow_mut().add_load(domain, id, sighting);
     }
@@ -146,13 +146,13 @@
             }
             for note in &loads.loads {
                 if let Some(id) = service.by_short_id(note.server) {
-                    let sighting = Sighting { at: now - note.age, report: note.report };
+                    let sighting = LoadObservation { at: now - note.age, report: note.report };
                     service.see(self, &id, sighting);
                 }
             }
             for note in &loads.failures {
                 if let Some(id) = service.by_short_id(note.server) {
-                    service.placement.borrow_mut().failed(now, &id, note.weight);
+                    service.placement.borrow_mut().record_failure(now, &id, note.weight);
                 }
             }
             for note in &loads.warmth {
--- a/crates/galenapath-gateway/src/waiting.rs
+++ b/crates/galenapath-gateway/src/waiting.rs
@@ -4,7 +4,10 @@
 use crate::instance::Instance;
 use crate::service::Service;
 use futures::channel::oneshot;
-use galenapath_policy::place::{Ask, Choice, Given, Moved, Placed, Refusal, Wanted};
+use galenapath_policy::place::{
+    Assignment, Choice, PlacementOutcome, PlacementRequest, QueueOutcome, QueueRejection,
+    RequestCriteria,
+};
 use galenapath_protocol::{BackendId, Micros};
 use std::rc::Rc;
 
@@ -12,13 +15,13 @@
 const LOOK_AGAIN: Micros = Micros::from_millis(10);
 
 /// Tells a request that waits what comes of it.
-pub(crate) type Waiter = oneshot::Sender<Result<Given, Refusal>>;
+pub(crate) type Waiter = oneshot::Sender<Result<Assignment, QueueRejection>>;
 
 /// Why no server was given.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum NoServer {
     /// All are full and the wait would be too long.
-    Refused(Refusal),
+    Refused(QueueRejection),
     /// None is left that could take the request.
     Nowhere,
 }
@@ -32,7 +35,7 @@
     pub(crate) async fn place(
         self: &Rc<Self>,
         instance: &Rc<Instance>,
-        wanted: Wanted,
+        wanted: PlacementRequest,
     ) -> Result<InFlight, NoServer> {
         self.prepare(instance);
         let (now, ticket) = (instance.now(), wanted.entry.ticket);
@@ -41,10 +44,10 @@
             line.place(now, &mut placement, wanted, instance.load_share())
         };
         match placed {
-            Placed::At(given) => Ok(InFlight::started(self, instance, given)),
-            Placed::Waits => self.wait(instance, ticket).await,
-            Placed::Refused(refusal) => Err(NoServer::Refused(refusal)),
-            Placed::Nowhere => Err(NoServer::Nowhere),
+            PlacementOutcome::Assigned(given) => Ok(InFlight::started(self, instance, given)),
+            PlacementOutcome::Queued => self.wait(instance, ticket).await,
+            PlacementOutcome::Rejected(refusal) => Err(NoServer::Refused(refusal)),
+            PlacementOutcome::NoServer => Err(NoServer::Nowhere),
         }
     }
 
@@ -57,14 +60,14 @@
     ) -> Option<InFlight> {
         self.prepare(instance);
         let now = instance.now();
-        let ask = Ask { tried, is_large, left: Micros::ZERO };
-        if !self.placement.borrow().has_good(now, &ask) {
+        let ask = RequestCriteria { tried, is_large, time_left: Micros::ZERO };
+        if !self.placement.borrow().has_good_server(now, &ask) {
             return None;
         }
         let choice = self.placement.borrow_mut().choose(now, &ask);
         match choice {
             Choice::Server(id) => Some(InFlight::start(self, instance, id)),
-            Choice::Wait | Choice::Nowhere => None,
+            Choice::Wait | Choice::NoServer => None,
         }
     }
 
@@ -90,7 +93,7 @@
     /// Starts or refuses what waits, as far as it is time for that.
     pub(crate) fn poll(&self, instance: &Instance) {
         let moved = self.line.borrow_mut().poll(instance.now(), &mut self.placement.borrow_mut());
-        for Moved { ticket, result } in moved {
+        for QueueOutcome { ticket, result } in moved {
             let waiter = self.waiters.borrow_mut().remove(&ticket);
             let untold = waiter.map_or(Err(result.clone()), |tx| tx.send(result));
             // The caller has gone at this very moment.
@@ -107,7 +110,7 @@
     service: &'a Rc<Service>,
     instance: &'a Rc<Instance>,
     ticket: u64,
-    rx: oneshot::Receiver<Result<Given, Refusal>>,
+    rx: oneshot::Receiver<Result<Assignment, QueueRejection>>,
 }
 
 impl Drop for Waiting<'_> {
--- a/crates/galenapath-lab/src/instance.rs
+++ b/crates/galenapath-lab/src/instance.rs
@@ -3,7 +3,7 @@
 use crate::deployment::Deployment;
 use crate::policy::Policy;
 use galenapath_policy::place::{
-    Given, Line, PlacedServer, Placement, Sighting, Started, WaitQueue,
+    Assignment, LoadObservation, PlacedServer, Placement, PlacementQueue, ServerSnapshot, WaitQueue,
 };
 use galenapath_protocol::{BackendId, FastMap, Micros};
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Call {
     /// How the server that it was given looked.
-    pub(crate) started: Started,
+    pub(crate) started: ServerSnapshot,
     /// When it was sent.
     pub(crate) sent_at: Micros,
     /// Servers that turned out unfit or have shed it.
@@ -24,12 +24,12 @@
 pub(crate) struct Instance {
     pub(crate) domain: usize,
     pub(crate) placement: Placement,
-    pub(crate) line: Line,
+    pub(crate) line: PlacementQueue,
     pub(crate) calls: FastMap<usize, Call>,
     /// What it last told the others of each server.
-    told: FastMap<usize, Sighting>,
+    told: FastMap<usize, LoadObservation>,
     /// What it tells them next.
-    pub(crate) outbox: FastMap<usize, Sighting>,
+    pub(crate) outbox: FastMap<usize, LoadObservation>,
 }
 
 /// The identity of a server.
@@ -50,7 +50,7 @@
         Self {
             domain,
             placement,
-            line: Line::new(WaitQueue::new(policy.queue.clone())),
+            line: PlacementQueue::new(WaitQueue::new(policy.queue.clone())),
             calls: FastMap::default(),
             told: FastMap::default(),
             outbox: FastMap::default(),
@@ -58,14 +58,14 @@
     }
 
     /// A server was given to a request, which has to be counted off there when it goes elsewhere.
-    pub(crate) fn given(&mut self, request: usize, given: &Given) {
-        self.calls.entry(request).or_default().started = given.started;
+    pub(crate) fn given(&mut self, request: usize, given: &Assignment) {
+        self.calls.entry(request).or_default().started = given.snapshot;
     }
 
     /// Keeps a sighting for the others where it is news.
-    pub(crate) fn tell(&mut self, server: usize, sighting: Sighting) {
+    pub(crate) fn tell(&mut self, server: usize, sighting: LoadObservation) {
         let told = self.told.get(&server);
-        if told.is_none_or(|told| sighting.is_news_after(told)) {
+        if told.is_none_or(|told| sighting.is_update_to(told)) {
             self.told.insert(server, sighting);
             self.outbox.insert(server, sighting);
         }
@@ -80,7 +80,7 @@
         .map(|(n, home)| PlacedServer {
             id: id_of(n),
             slots: deployment.servers.slots,
-            is_home: home == domain,
+            is_local: home == domain,
             is_leaving: false,
             is_withdrawn: false,
             cold_for: Micros::ZERO,
--- a/crates/galenapath-lab/src/lib.rs
+++ b/crates/galenapath-lab/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A [`Deployment`] says which servers there are, how they work and what callers send. [`play`] runs
 //! instances on it that choose by the shipping [`Placement`](galenapath_policy::place::Placement) and
-//! [`Line`](galenapath_policy::place::Line), with mechanisms switched off as asked; [`play_oracle`] is a
-//! single dispatcher that sees every slot and pace at once. Both get the same arrivals, work and spells
+//! [`PlacementQueue`](galenapath_policy::place::PlacementQueue), with mechanisms switched off as
+//! asked; [`play_oracle`] is a single dispatcher that sees every slot and pace at once. Both get the same arrivals, work and spells
 //! for a seed, so that two results of one seed differ by the decisions alone.
 //!
 //! Played: questions before a send, loads told between instances, probes, waiting, refusals, callers who
--- a/crates/galenapath-lab/src/play.rs
+++ b/crates/galenapath-lab/src/play.rs
@@ -10,7 +10,7 @@
 use crate::report::Report;
 use crate::servers::Server;
 use crate::switch::Switch;
-use galenapath_policy::place::Sighting;
+use galenapath_policy::place::LoadObservation;
 use galenapath_protocol::Micros;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -146,8 +146,8 @@
             }
             Event::Shed { request, instance, server } => self.shed(request, instance, server),
             Event::Told { instance, server, load, at } => {
-                let sighting = Sighting { at, report: load.into() };
-                self.instances[instance].placement.see(&id_of(server), sighting);
+                let sighting = LoadObservation { at, report: load.into() };
+                self.instances[instance].placement.observe(&id_of(server), sighting);
                 self.poll(instance);
             }
             Event::ProbeReaches { instance, server, asked_at } => {
@@ -165,9 +165,9 @@
 
     /// Takes in what a server told this instance, and keeps it for the others.
     fn see(&mut self, instance: usize, server: usize, load: Load, at: Micros) {
-        let sighting = Sighting { at, report: load.into() };
+        let sighting = LoadObservation { at, report: load.into() };
         let here = &mut self.instances[instance];
-        if here.placement.see(&id_of(server), sighting) {
+        if here.placement.observe(&id_of(server), sighting) {
             here.tell(server, sighting);
         }
     }
@@ -181,7 +181,7 @@
         for server in 0..self.servers.len() {
             let domain = self.servers[server].domain;
             let instance = domain * self.deployment.instances_per_domain;
-            let due = self.instances[instance].placement.look_at(self.now, &id_of(server));
+            let due = self.instances[instance].placement.next_probe_at(self.now, &id_of(server));
             if due <= self.now {
                 self.report.probes += 1;
                 let reaches = Event::ProbeReaches { instance, server, asked_at: self.now };
@@ -192,14 +192,15 @@
 
     fn flush(&mut self, instance: usize) {
         self.at(self.now + FLUSH, Event::Flush { instance });
-        let mut news: Vec<(usize, Sighting)> = self.instances[instance].outbox.drain().collect();
+        let mut news: Vec<(usize, LoadObservation)> =
+            self.instances[instance].outbox.drain().collect();
         // The order of a map differs from run to run.
         news.sort_by_key(|(server, _)| *server);
         if self.is_without(Switch::Sharing) {
             return;
         }
         let way = millis(self.deployment.crossing_ms);
-        for (server, Sighting { at, report }) in news {
+        for (server, LoadObservation { at, report }) in news {
             for other in (0..self.instances.len()).filter(|other| *other != instance) {
                 let told = Event::Told { instance: other, server, load: report.into(), at };
                 self.at(self.now + way, told);
--- a/crates/galenapath-lab/src/play/request.rs
+++ b/crates/galenapath-lab/src/play/request.rs
@@ -7,7 +7,9 @@
 use crate::report::Outcome;
 use crate::servers::{Reached, Run};
 use crate::switch::Switch;
-use galenapath_policy::place::{Entry, Given, Moved, Placed, Refusal, Wanted};
+use galenapath_policy::place::{
+    Assignment, PlacementOutcome, PlacementRequest, QueueEntry, QueueOutcome, QueueRejection,
+};
 use galenapath_protocol::Micros;
 
 impl Play<'_> {
@@ -18,10 +20,10 @@
         let now = self.now;
         let Instance { line, placement, .. } = &mut self.instances[instance];
         match line.place(now, placement, wanted, part) {
-            Placed::At(given) => self.start(request, instance, &given),
-            Placed::Waits => {}
-            Placed::Refused(refusal) => self.refuse(request, refusal),
-            Placed::Nowhere => {
+            PlacementOutcome::Assigned(given) => self.start(request, instance, &given),
+            PlacementOutcome::Queued => {}
+            PlacementOutcome::Rejected(refusal) => self.refuse(request, refusal),
+            PlacementOutcome::NoServer => {
                 let call = self.instances[instance].calls.entry(request).or_default();
                 if call.passed_over.is_empty() {
                     self.finish(request, Outcome::Refused);
@@ -33,20 +35,20 @@
         }
     }
 
-    fn wanted(&mut self, request: usize, instance: usize) -> Wanted {
+    fn wanted(&mut self, request: usize, instance: usize) -> PlacementRequest {
         let Arrival { at, .. } = self.arrivals[request];
         let callers = &self.deployment.callers;
         let deadline =
             (at + millis(callers.patience_ms)).min(self.now + millis(callers.timeout_ms));
         let call = self.instances[instance].calls.entry(request).or_default();
-        Wanted {
-            entry: Entry {
+        PlacementRequest {
+            entry: QueueEntry {
                 ticket: request as u64,
                 rank: 0,
                 arrived: self.now,
                 target: at + millis(callers.target_ms),
                 deadline,
-                is_picky: !call.passed_over.is_empty(),
+                has_exclusions: !call.passed_over.is_empty(),
             },
             tried: call.passed_over.clone(),
             is_large: false,
@@ -56,7 +58,7 @@
     pub(super) fn poll(&mut self, instance: usize) {
         let now = self.now;
         let Instance { line, placement, .. } = &mut self.instances[instance];
-        for Moved { ticket, result } in line.poll(now, placement) {
+        for QueueOutcome { ticket, result } in line.poll(now, placement) {
             let request = ticket as usize;
             match result {
                 Ok(given) => self.start(request, instance, &given),
@@ -66,10 +68,10 @@
     }
 
     /// A request has a server: asks it first, unless it was seen just now.
-    fn start(&mut self, request: usize, instance: usize, given: &Given) {
+    fn start(&mut self, request: usize, instance: usize, given: &Assignment) {
         let server = server_of(&given.server);
         self.instances[instance].given(request, given);
-        let seen = self.instances[instance].placement.seen(&given.server);
+        let seen = self.instances[instance].placement.last_observation(&given.server);
         let is_fresh = seen.is_some_and(|seen| self.now - seen.at <= FRESH_LOAD);
         if is_fresh || self.is_without(Switch::Questions) {
             self.send(request, instance, server);
@@ -99,9 +101,9 @@
         let (now, id) = (self.now, id_of(server));
         let tells = !self.is_without(Switch::OwnSends);
         let here = &mut self.instances[instance];
-        here.placement.sent(&id);
+        here.placement.mark_sent(&id);
         here.calls.entry(request).or_default().sent_at = now;
-        if tells && let Some(seen) = here.placement.seen(&id) {
+        if tells && let Some(seen) = here.placement.last_observation(&id) {
             let load = here.placement.load(&id);
             here.tell(server, seen.with_load(load));
         }
@@ -142,7 +144,7 @@
         let here = &mut self.instances[instance];
         if let Some(call) = here.calls.remove(&request) {
             here.placement.finish(&id);
-            here.placement.served(now, &id, now - call.sent_at, call.started);
+            here.placement.record_success(now, &id, now - call.sent_at, call.started);
         }
         self.see(instance, server, load, now);
         self.poll(instance);
@@ -162,13 +164,13 @@
         let id = id_of(server);
         let Instance { placement, calls, .. } = &mut self.instances[instance];
         placement.finish(&id);
-        placement.failed(self.now, &id, 0.3);
+        placement.record_failure(self.now, &id, 0.3);
         calls.entry(request).or_default().passed_over.push(id);
         self.place(request, instance);
     }
 
     /// Turns a request away; its caller comes back once.
-    fn refuse(&mut self, request: usize, refusal: Refusal) {
+    fn refuse(&mut self, request: usize, refusal: QueueRejection) {
         for instance in &mut self.instances {
             instance.calls.remove(&request);
         }
--- a/crates/galenapath-lab/src/policy.rs
+++ b/crates/galenapath-lab/src/policy.rs
@@ -39,14 +39,14 @@
         let place = &mut self.place;
         match switch {
             Switch::SlowProbes => {
-                place.look_at_slow = place.look_at_usual;
-                place.look_at_slow_calm = place.look_at_usual;
+                place.probe_after_slow = place.probe_after_usual;
+                place.probe_after_slow_idle = place.probe_after_usual;
             }
-            Switch::Crowding => place.crowding_limit = NEVER,
-            Switch::Home => place.crossing = 0.0,
-            Switch::Sample => place.sample = ALL_SERVERS,
+            Switch::Crowding => place.contention_limit = NEVER,
+            Switch::Home => place.cross_domain_cost = 0.0,
+            Switch::Sample => place.sample_size = ALL_SERVERS,
             Switch::Jitter => place.jitter = 0.0,
-            Switch::Waiting => self.queue.most = 0,
+            Switch::Waiting => self.queue.max_waiting = 0,
             Switch::Questions | Switch::Sharing | Switch::OwnSends | Switch::Probes => {}
         }
     }
@@ -58,24 +58,26 @@
         let Self { place, queue, .. } = &mut policy;
         let span = |span: &mut Micros| *span = Micros((span.0 as f32 * factor) as u64);
         match knob {
-            Knob::PaceFades => span(&mut place.pace_fades),
-            Knob::Crossing => place.crossing *= factor,
+            Knob::PaceFades => span(&mut place.observation_decay),
+            Knob::Crossing => place.cross_domain_cost *= factor,
             Knob::FillCost => place.fill_cost *= factor,
             Knob::Jitter => place.jitter *= factor,
-            Knob::Sample => place.sample = ((place.sample as f32 * factor) as usize).max(1),
-            Knob::Slower => place.slower *= factor,
-            Knob::Failure => place.failure *= factor,
-            Knob::FailureFades => span(&mut place.failure_fades),
-            Knob::LookAtUsual => span(&mut place.look_at_usual),
-            Knob::LookAtSlow => span(&mut place.look_at_slow),
-            Knob::LookAtSlowCalm => span(&mut place.look_at_slow_calm),
-            Knob::ScarceFrom => place.scarce_from *= factor,
-            Knob::CrowdingLimit => place.crowding_limit *= factor,
+            Knob::Sample => {
+                place.sample_size = ((place.sample_size as f32 * factor) as usize).max(1)
+            }
+            Knob::Slower => place.slower_tolerance *= factor,
+            Knob::Failure => place.failure_cost *= factor,
+            Knob::FailureFades => span(&mut place.failure_half_life),
+            Knob::LookAtUsual => span(&mut place.probe_after_usual),
+            Knob::LookAtSlow => span(&mut place.probe_after_slow),
+            Knob::LookAtSlowCalm => span(&mut place.probe_after_slow_idle),
+            Knob::ScarceFrom => place.scarcity_threshold *= factor,
+            Knob::CrowdingLimit => place.contention_limit *= factor,
             Knob::Margin => queue.margin *= factor,
             Knob::LateShare => queue.late_share *= factor,
-            Knob::NoLateFor => span(&mut queue.no_late_for),
-            Knob::LeastRetryAfter => span(&mut queue.least_retry_after),
-            Knob::RetryShare => queue.retry_share *= factor,
+            Knob::NoLateFor => span(&mut queue.late_cooldown),
+            Knob::LeastRetryAfter => span(&mut queue.min_retry_after),
+            Knob::RetryShare => queue.max_retry_share *= factor,
         }
         policy
     }
@@ -84,41 +86,41 @@
 /// A threshold of the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Knob {
-    /// [`PlaceConfig::pace_fades`].
+    /// [`PlaceConfig::observation_decay`].
     PaceFades,
-    /// [`PlaceConfig::crossing`].
+    /// [`PlaceConfig::cross_domain_cost`].
     Crossing,
     /// [`PlaceConfig::fill_cost`].
     FillCost,
     /// [`PlaceConfig::jitter`].
     Jitter,
-    /// [`PlaceConfig::sample`].
+    /// [`PlaceConfig::sample_size`].
     Sample,
-    /// [`PlaceConfig::slower`].
+    /// [`PlaceConfig::slower_tolerance`].
     Slower,
-    /// [`PlaceConfig::failure`].
+    /// [`PlaceConfig::failure_cost`].
     Failure,
-    /// [`PlaceConfig::failure_fades`].
+    /// [`PlaceConfig::failure_half_life`].
     FailureFades,
-    /// [`PlaceConfig::look_at_usual`].
+    /// [`PlaceConfig::probe_after_usual`].
     LookAtUsual,
-    /// [`PlaceConfig::look_at_slow`].
+    /// [`PlaceConfig::probe_after_slow`].
     LookAtSlow,
-    /// [`PlaceConfig::look_at_slow_calm`].
+    /// [`PlaceConfig::probe_after_slow_idle`].
     LookAtSlowCalm,
-    /// [`PlaceConfig::scarce_from`].
+    /// [`PlaceConfig::scarcity_threshold`].
     ScarceFrom,
-    /// [`PlaceConfig::crowding_limit`].
+    /// [`PlaceConfig::contention_limit`].
     CrowdingLimit,
     /// [`QueueConfig::margin`].
     Margin,
     /// [`QueueConfig::late_share`].
     LateShare,
-    /// [`QueueConfig::no_late_for`].
+    /// [`QueueConfig::late_cooldown`].
     NoLateFor,
-    /// [`QueueConfig::least_retry_after`].
+    /// [`QueueConfig::min_retry_after`].
     LeastRetryAfter,
-    /// [`QueueConfig::retry_share`].
+    /// [`QueueConfig::max_retry_share`].
     RetryShare,
 }
 
--- a/crates/galenapath-policy/src/place/mod.rs
+++ b/crates/galenapath-policy/src/place/mod.rs
@@ -2,42 +2,44 @@
 //!
 //! Load pattern: backend servers share their machines, and at any moment a quarter of them work
 //! several times slower than usual, each for about half a second. A choice by requests in flight
-//! alone learns of a slow spell from the answers that are late because of it, when it is over.
-//! Here the pace that servers tell, on answers and probes and through other instances, decides
-//! first, and what is known loses its weight with its age.
+//! alone learns of a slow period only from the answers that are late because of it, when the period
+//! is over. Placement therefore decides first by the slowdown that servers report, on answers and
+//! probes and through other instances; the weight of an observation falls with its age.
 //!
-//! - [`Placement`]: which server a request goes to, or that it has to wait.
-//! - [`Line`]: how placement and queue go together.
-//! - [`WaitQueue`]: who waits, who goes first and who is turned away.
-//! - [`copies`]: when a running request gets a second copy elsewhere.
+//! - [`Placement`]: which server a request is sent to, or whether it has to wait.
+//! - [`PlacementQueue`]: combines placement and queue.
+//! - [`WaitQueue`]: which requests wait, in which order, and which are rejected.
+//! - [`hedging`]: when a running request is sent to a second server.
 
-mod absent;
-mod ask;
 mod choose;
 mod config;
-pub mod copies;
 mod cost;
+mod delisted;
 mod estimate;
-mod guess;
-mod known;
-mod line;
-mod look;
-mod patience;
+pub mod hedging;
+mod observation;
 mod pause;
 mod placement;
+mod placement_queue;
+mod probe_schedule;
 mod queue;
 mod rate_limit;
+mod selection;
 mod server;
 mod shortage;
+mod stale_queries;
+mod time_spent;
 mod warming;
 
-pub use ask::{Ask, Choice, PlacedServer, Started};
 pub use config::PlaceConfig;
-pub use known::Sighting;
-pub use line::{Given, Line, Moved, Placed, Wanted};
-pub use patience::spent;
+pub use observation::LoadObservation;
 pub use placement::Placement;
-pub use queue::{Entry, QueueConfig, Refusal, WaitQueue};
+pub use placement_queue::{
+    Assignment, PlacementOutcome, PlacementQueue, PlacementRequest, QueueOutcome,
+};
+pub use queue::{QueueConfig, QueueEntry, QueueRejection, WaitQueue};
 pub use rate_limit::RateLimit;
+pub use selection::{Choice, PlacedServer, RequestCriteria, ServerSnapshot};
 pub use shortage::Shortage;
+pub use time_spent::time_spent;
 pub use warming::WarmUp;
--- a/crates/galenapath-policy/src/place/queue.rs
+++ b/crates/galenapath-policy/src/place/queue.rs
@@ -1,11 +1,11 @@
-//! Requests that wait for a server.
+//! Queue of requests that wait for a server.
 //!
-//! Load pattern: a burst, or the loss of servers, that leaves more requests than slots. Without an
-//! order, requests that can no longer meet their target hold the slots that others still could;
-//! without early refusals callers wait for nothing and come back too late.
+//! Load pattern: a burst, or the loss of servers, which leaves more requests than slots. Without an
+//! order, requests that can no longer meet their target hold the slots that others could still use
+//! in time; without early rejections, callers wait in vain and retry too late.
 //!
-//! A request waits for as long as it can still meet its target. One that cannot, because it came
-//! back late after a refusal, waits behind all others for a slot that nobody else wants.
+//! A request waits for as long as it can still meet its target. One that cannot, because it was
+//! retried late after a rejection, waits behind all others for a slot that is not needed otherwise.
 
 use galenapath_protocol::Micros;
 use std::collections::BTreeMap;
@@ -13,65 +13,65 @@
 /// Thresholds of the queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueueConfig {
-    /// Most requests that wait at once.
-    pub most: usize,
-    /// Part of the wait that a target allows up to which a new request is taken; the rest is room
-    /// for errors of the prediction.
+    /// Largest number of waiting requests.
+    pub max_waiting: usize,
+    /// Fraction of the wait that a target allows up to which a new request is accepted; the rest
+    /// covers errors of the prediction.
     pub margin: f32,
-    /// Part of its time left that a late request may wait.
+    /// Fraction of its remaining deadline that a late request may wait.
     pub late_share: f32,
-    /// Time for which no late requests are taken after one was refused that had waited.
-    pub no_late_for: Micros,
-    /// Shortest time that a refused caller is told to stay away: less is no time to make room.
-    pub least_retry_after: Micros,
-    /// Part of the caller's time left that it may be told to stay away; callers do not heed more
-    /// than a third.
-    pub retry_share: f32,
+    /// Time for which no late requests are accepted after a request was rejected that had waited.
+    pub late_cooldown: Micros,
+    /// Shortest retry delay for a rejected caller; in less time no slots become free.
+    pub min_retry_after: Micros,
+    /// Largest retry delay as a fraction of the caller's remaining deadline; callers ignore delays
+    /// of more than a third.
+    pub max_retry_share: f32,
 }
 
 impl Default for QueueConfig {
     fn default() -> Self {
         Self {
-            most: 256,
+            max_waiting: 256,
             margin: 0.9,
             late_share: 0.25,
-            no_late_for: Micros::from_millis(500),
-            least_retry_after: Micros::from_millis(40),
-            retry_share: 0.3,
+            late_cooldown: Micros::from_millis(500),
+            min_retry_after: Micros::from_millis(40),
+            max_retry_share: 0.3,
         }
     }
 }
 
-/// A request that waits or asks to.
+/// A request that waits or is offered to the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct QueueEntry {
     /// The instance's number of the request.
     pub ticket: u64,
     /// Rank of its route; 0 is the most urgent.
     pub rank: u32,
     /// When it arrived.
     pub arrived: Micros,
-    /// When its answer is no longer worth most.
+    /// Latency target.
     pub target: Micros,
-    /// When its caller has no more use for an answer.
+    /// Time by which the caller gives up.
     pub deadline: Micros,
-    /// Whether some servers are out of the question for it, because it was sent there or they turned out
+    /// Whether some servers are excluded for it, because it was sent there or they turned out
     /// unfit.
-    pub is_picky: bool,
+    pub has_exclusions: bool,
 }
 
-/// A refusal: the request has not run.
+/// The rejection of a request, which has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
-    /// When the caller may come back, from now.
+pub struct QueueRejection {
+    /// Time after which the caller may retry.
     pub retry_after: Micros,
-    /// Wait that was predicted for it.
-    pub predicted: Micros,
+    /// The predicted wait.
+    pub predicted_wait: Micros,
 }
 
-/// Place in the order: those that can meet their target first, then by rank, then by age.
+/// Position in the queue: requests that can meet their target first, then by rank, then by age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct Position {
     is_late: bool,
     rank: u32,
     arrived: Micros,
@@ -82,121 +82,125 @@
 #[derive(Clone, Debug)]
 pub struct WaitQueue {
     cfg: QueueConfig,
-    waiting: BTreeMap<Place, Entry>,
-    /// Until when no request is taken that can only be late: lately one had to be refused after it
-    /// had waited, so that there are no slots that nobody else wants.
-    no_late_until: Micros,
+    waiting: BTreeMap<Position, QueueEntry>,
+    /// Time until which no late requests are accepted: a request was rejected after it had waited,
+    /// so there are no spare slots.
+    late_blocked_until: Micros,
 }
 
 impl WaitQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(cfg: QueueConfig) -> Self {
-        Self { cfg, waiting: BTreeMap::new(), no_late_until: Micros::ZERO }
+        Self { cfg, waiting: BTreeMap::new(), late_blocked_until: Micros::ZERO }
     }
 
-    /// Whether nobody waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Whether somebody waits who goes before a request that arrives now.
-    pub fn has_before(&self, now: Micros, entry: &Entry) -> bool {
-        let own = place(entry, entry.target <= now);
+    /// Whether a waiting request goes before one that arrives now.
+    pub fn has_earlier(&self, now: Micros, entry: &QueueEntry) -> bool {
+        let own = position(entry, entry.target <= now);
         self.waiting.range(..own).next().is_some()
     }
 
-    /// Lets a request wait, or refuses it at once where its wait is predicted to be too long.
-    /// `pace` is the mean time between two starts at this instance, `work` the time it then takes.
+    /// Queues a request, or rejects it at once if its predicted wait is too long. `start_interval`
+    /// is the mean time between two starts at this instance, `work` the mean work time.
     ///
     /// # Errors
     ///
-    /// The refusal.
+    /// The rejection.
     pub fn offer(
         &mut self,
         now: Micros,
-        entry: Entry,
-        pace: Micros,
+        entry: QueueEntry,
+        start_interval: Micros,
         work: Micros,
-    ) -> Result<(), Refusal> {
-        let on_time = place(&entry, false);
-        let predicted = self.wait_before(&on_time, pace);
+    ) -> Result<(), QueueRejection> {
+        let on_time = position(&entry, false);
+        let predicted_wait = self.predict_wait(&on_time, start_interval);
         let allowed = scaled(entry.target - now - work, self.cfg.margin);
-        if self.waiting.len() < self.cfg.most && now + work <= entry.target && predicted <= allowed
+        if self.waiting.len() < self.cfg.max_waiting
+            && now + work <= entry.target
+            && predicted_wait <= allowed
         {
             self.waiting.insert(on_time, entry);
             return Ok(());
         }
-        let late = place(&entry, true);
-        let predicted = self.wait_before(&late, pace);
+        let late = position(&entry, true);
+        let predicted_wait = self.predict_wait(&late, start_interval);
         let allowed = scaled(entry.deadline - now, self.cfg.late_share);
-        let is_hopeless = now + predicted + work > entry.deadline;
-        let is_full = self.waiting.len() >= self.cfg.most || now < self.no_late_until;
-        if is_hopeless || is_full || predicted > allowed {
-            return Err(self.refusal(now, &entry, predicted));
+        let misses_deadline = now + predicted_wait + work > entry.deadline;
+        let is_full = self.waiting.len() >= self.cfg.max_waiting || now < self.late_blocked_until;
+        if misses_deadline || is_full || predicted_wait > allowed {
+            return Err(self.rejection(now, &entry, predicted_wait));
         }
         self.waiting.insert(late, entry);
         Ok(())
     }
 
-    /// Time until all those before `place` and one more have started.
-    fn wait_before(&self, place: &Place, pace: Micros) -> Micros {
-        let ahead = self.waiting.range(..place).count();
-        Micros(pace.0.saturating_mul(ahead as u64 + 1))
+    /// Predicted time until all requests before `position` and one more have started.
+    fn predict_wait(&self, position: &Position, start_interval: Micros) -> Micros {
+        let ahead = self.waiting.range(..position).count();
+        Micros(start_interval.0.saturating_mul(ahead as u64 + 1))
     }
 
-    /// The refusal of a request whose wait would be `predicted`.
-    fn refusal(&self, now: Micros, entry: &Entry, predicted: Micros) -> Refusal {
-        let left = entry.deadline - now;
-        let most = scaled(left, self.cfg.retry_share).max(self.cfg.least_retry_after);
-        let retry_after = predicted.clamp(self.cfg.least_retry_after, most);
-        Refusal { retry_after, predicted }
+    /// The rejection of a request with the given predicted wait.
+    fn rejection(&self, now: Micros, entry: &QueueEntry, predicted_wait: Micros) -> QueueRejection {
+        let remaining = entry.deadline - now;
+        let max_retry_after =
+            scaled(remaining, self.cfg.max_retry_share).max(self.cfg.min_retry_after);
+        let retry_after = predicted_wait.clamp(self.cfg.min_retry_after, max_retry_after);
+        QueueRejection { retry_after, predicted_wait }
     }
 
-    /// Who may go next, in order: of those that can meet their target the first one that takes any server,
-    /// which stands for all behind it, and the picky ones before it, which must not hold it up; then the
-    /// same of the late ones, which may take a server that is too slow for the others.
-    pub fn next(&self) -> impl Iterator<Item = &Entry> {
+    /// Requests that may start next, in order. Of the requests that can meet their target: the
+    /// first one that any server can take, which stands for all behind it, and those with
+    /// exclusions before it, which must not block it. Then the same of the late requests, which may
+    /// take a server that is too slow for the others.
+    pub fn candidates(&self) -> impl Iterator<Item = &QueueEntry> {
         let first = |is_late: bool| {
             let mut is_found = false;
-            let side = self.waiting.iter().filter(move |(place, _)| place.is_late == is_late);
+            let side = self.waiting.iter().filter(move |(position, _)| position.is_late == is_late);
             side.map(|(_, entry)| entry)
-                .take_while(move |entry| !std::mem::replace(&mut is_found, !entry.is_picky))
+                .take_while(move |entry| !std::mem::replace(&mut is_found, !entry.has_exclusions))
         };
         first(false).chain(first(true))
     }
 
-    /// Takes a request out, because it starts or its caller has gone.
-    pub fn remove(&mut self, ticket: u64) -> Option<Entry> {
-        let place = *self.waiting.iter().find(|(_, entry)| entry.ticket == ticket)?.0;
-        self.waiting.remove(&place)
+    /// Removes a request, because it starts or its caller has left.
+    pub fn remove(&mut self, ticket: u64) -> Option<QueueEntry> {
+        let position = *self.waiting.iter().find(|(_, entry)| entry.ticket == ticket)?.0;
+        self.waiting.remove(&position)
     }
 
-    /// Takes out those whose wait has become too long.
-    pub fn expired(&mut self, now: Micros, work: Micros) -> Vec<(Entry, Refusal)> {
+    /// Removes requests that have waited too long.
+    pub fn expired(&mut self, now: Micros, work: Micros) -> Vec<(QueueEntry, QueueRejection)> {
         let share = self.cfg.late_share;
-        let is_over = |place: &Place, entry: &Entry| {
+        let is_over = |position: &Position, entry: &QueueEntry| {
             let waited = now - entry.arrived;
             let late_limit = scaled(entry.deadline - entry.arrived, share);
             let is_over =
-                if place.is_late { waited > late_limit } else { now + work > entry.target };
+                if position.is_late { waited > late_limit } else { now + work > entry.target };
             is_over || now + work > entry.deadline
         };
-        let over: Vec<Place> =
+        let expired: Vec<Position> =
             self.waiting.iter().filter(|(p, e)| is_over(p, e)).map(|(p, _)| *p).collect();
-        let mut out = Vec::with_capacity(over.len());
-        for place in over {
-            if let Some(entry) = self.waiting.remove(&place) {
-                self.no_late_until = now + self.cfg.no_late_for;
-                let refusal = self.refusal(now, &entry, work);
-                out.push((entry, refusal));
+        let mut rejections = Vec::with_capacity(expired.len());
+        for position in expired {
+            if let Some(entry) = self.waiting.remove(&position) {
+                self.late_blocked_until = now + self.cfg.late_cooldown;
+                let rejection = self.rejection(now, &entry, work);
+                rejections.push((entry, rejection));
             }
         }
-        out
+        rejections
     }
 }
 
-fn place(entry: &Entry, is_late: bool) -> Place {
-    Place { is_late, rank: entry.rank, arrived: entry.arrived, ticket: entry.ticket }
+fn position(entry: &QueueEntry, is_late: bool) -> Position {
+    Position { is_late, rank: entry.rank, arrived: entry.arrived, ticket: entry.ticket }
 }
 
 fn scaled(span: Micros, part: f32) -> Micros {
--- a/crates/galenapath-policy/src/place/rate_limit.rs
+++ b/crates/galenapath-policy/src/place/rate_limit.rs
@@ -1,102 +1,106 @@
-//! How many requests a server gets that names a rate limit.
+//! Rate limits that servers state.
 //!
-//! Load pattern: a server in need says in its answers how many requests a second it takes from all instances
-//! together, a small part of what its slots would bear. It looks as free as before, so that a choice by load
-//! and pace sends it as much as ever. An instance hears of the limit only from answers and from others, and
-//! knows nothing of what the others have sent within the last tenth of a second. So the limit is split
-//! in equal parts among so few instances that each may send a request a second or more
-//! ([`limit_share`](crate::measure::limit_share)), and the others leave the server alone: any part that is
-//! less would have to be rounded up to a request, and hundreds of those are many times the limit.
+//! Load pattern: an overloaded server states in its answers how many requests per second it accepts
+//! from all instances together, a small fraction of what its slots could run. Its load reports look
+//! as free as before, so a choice by load and slowdown alone would not reduce its requests. An
+//! instance learns of the limit only from answers and from other instances, and does not know what
+//! the others have sent within the last tenth of a second. The limit is therefore split equally
+//! among so few instances that each may send at least one request per second
+//! ([`limit_share`](crate::measure::limit_share)), and the others send nothing: a smaller share
+//! would have to be rounded up to one request, and hundreds of these are many times the limit.
 
 use super::placement::Placement;
 use super::server::Server;
 use crate::measure::{LimitShare, TokenBucket};
 use galenapath_protocol::{BackendId, Micros};
 
-/// Part of a limit by which it has to change to be news.
-const OTHER_LIMIT: f64 = 0.1;
+/// Relative change of a limit that counts as an update.
+const MIN_RELATIVE_CHANGE: f64 = 0.1;
 
-/// Seconds of its part that an instance saves up, or one request.
-const SAVED: f32 = 0.1;
+/// Seconds of its share that an instance may accumulate, or one request.
+const BURST_SECS: f32 = 0.1;
 
-/// Least requests a second to a server whose limit is lower: without an answer nobody would learn that it
-/// has ended.
-const LEAST_RATE: f64 = 0.25;
+/// Lowest rate, in requests per second, that is sent to a rate-limited server. Without answers no
+/// instance would learn that the limit has ended.
+const MIN_RATE: f64 = 0.25;
 
-/// Age up to which what a server said is told again to instances that may have missed it. Older than any
-/// that is in use: there is one answer in four seconds at the least.
-const TOLD_AGAIN_FOR: Micros = Micros::from_secs(30);
+/// Age up to which a statement is repeated to instances that may have missed it. No statement in
+/// use is older, since there is at least one answer every four seconds.
+const MAX_REPEAT_AGE: Micros = Micros::from_secs(30);
 
-/// Time after the end of a limit for which the end is told again.
-const END_TOLD_AGAIN_FOR: Micros = Micros::from_secs(10);
+/// Time after the end of a limit for which the end is repeated.
+const ENDED_REPORT_PERIOD: Micros = Micros::from_secs(10);
 
-/// Time without a word after which a limit counts as ended: whoever could confirm it sends nothing there.
-const LAPSES_AFTER: Micros = Micros::from_secs(60);
+/// Time without confirmation after which a limit ends: the instances that could confirm it send no
+/// requests there.
+const LIMIT_EXPIRY: Micros = Micros::from_secs(60);
 
-/// What a server said of the requests a second that it takes from all instances together.
+/// A server's statement of the requests per second that it accepts from all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// The limit; `None` where it named none.
+    /// The limit; `None` if there is none.
     pub per_second: Option<f64>,
-    /// When it said so.
-    pub said_at: Micros,
+    /// When the server stated it.
+    pub stated_at: Micros,
 }
 
-/// What is known of a server's rate limit.
+/// Known state of a server's rate limit.
 #[derive(Clone, Debug)]
-pub(super) struct Limited {
-    /// The newest word; `None` before the first one.
-    word: Option<RateLimit>,
-    /// When the server or another instance last said the same.
+pub(super) struct RateLimitState {
+    /// The newest statement; `None` before the first one.
+    latest: Option<RateLimit>,
+    /// When the server or another instance last confirmed the statement.
     confirmed_at: Micros,
-    /// When it was last heard that the limit has ended; `None` before that, and while there is one.
+    /// When this instance learned that the limit had ended; `None` before that, and while there is
+    /// one.
     ended_at: Option<Micros>,
     share: LimitShare,
-    /// Invariant: empty whenever the part that falls to this instance was nothing before.
+    /// Invariant: created without tokens whenever this instance had no share before.
     budget: TokenBucket,
 }
 
-impl Default for Limited {
+impl Default for RateLimitState {
     fn default() -> Self {
         Self {
-            word: None,
+            latest: None,
             confirmed_at: Micros::ZERO,
             ended_at: None,
             share: LimitShare::NONE,
-            budget: TokenBucket::empty(Micros::ZERO, 0.0, SAVED),
+            budget: TokenBucket::empty(Micros::ZERO, 0.0, BURST_SECS),
         }
     }
 }
 
-impl Limited {
+impl RateLimitState {
     pub(super) fn per_second(&self) -> Option<f64> {
-        self.word?.per_second
+        self.latest?.per_second
     }
 
-    /// The same while no part of the limit falls to this instance.
+    /// Returns the limit with no share for this instance.
     pub(super) fn without_share(self) -> Self {
         Self { share: LimitShare::NONE, ..self }
     }
 
-    /// Whether a part of the limit falls to this instance.
-    pub(super) fn is_ours(&self) -> bool {
+    /// Whether this instance has a share of the limit.
+    pub(super) fn has_share(&self) -> bool {
         self.share.part > 0.0
     }
 
-    /// Whether the server can take one more request of this instance now.
-    pub(super) fn has_room(&self, now: Micros) -> bool {
-        self.per_second().is_none() || (self.is_ours() && self.budget.has_token(now))
+    /// Whether the server accepts one more request of this instance now.
+    pub(super) fn has_budget(&self, now: Micros) -> bool {
+        self.per_second().is_none() || (self.has_share() && self.budget.has_token(now))
     }
 
-    /// Time until it takes one more request of this instance; `None` where no part of the limit falls to it.
-    pub(super) fn room_in(&self, now: Micros) -> Option<Micros> {
+    /// Time until the server accepts one more request of this instance; `None` if the instance has
+    /// no share.
+    pub(super) fn time_until_budget(&self, now: Micros) -> Option<Micros> {
         match self.per_second() {
             None => Some(Micros::ZERO),
-            Some(_) => self.is_ours().then(|| self.budget.time_until_token(now)),
+            Some(_) => self.has_share().then(|| self.budget.time_until_token(now)),
         }
     }
 
-    /// Counts a request where the server names a limit; returns whether it does.
+    /// Counts a request if the server has a rate limit; returns whether it has.
     pub(super) fn count(&mut self, now: Micros) -> bool {
         let is_limited = self.per_second().is_some();
         if is_limited {
@@ -105,63 +109,64 @@
         is_limited
     }
 
-    /// Takes in what the server said; returns whether it is news.
-    fn hear(&mut self, now: Micros, word: RateLimit) -> bool {
+    /// Adds a statement of the server; returns whether it is an update.
+    fn update(&mut self, now: Micros, limit: RateLimit) -> bool {
         let before = self.per_second();
-        if before.is_some() == word.per_second.is_some() {
+        if before.is_some() == limit.per_second.is_some() {
             self.confirmed_at = now;
         }
-        if self.word.is_some_and(|known| known.said_at > word.said_at) {
+        if self.latest.is_some_and(|latest| latest.stated_at > limit.stated_at) {
             return false;
         }
-        self.word = Some(word);
+        self.latest = Some(limit);
         self.confirmed_at = now;
-        if before.is_none() || word.per_second.is_none() {
+        if before.is_none() || limit.per_second.is_none() {
             self.share = LimitShare::NONE;
         }
-        self.ended_at = match (before, word.per_second) {
+        self.ended_at = match (before, limit.per_second) {
             (_, Some(_)) => None,
             (Some(_), None) => Some(now),
             (None, None) => self.ended_at,
         };
-        is_news(before, word.per_second)
+        is_update(before, limit.per_second)
     }
 
-    /// Takes over which part of the limit falls to this instance.
+    /// Sets this instance's share of the limit.
     fn assign(&mut self, now: Micros, share: LimitShare) {
-        let limit = self.per_second().unwrap_or(0.0).max(LEAST_RATE);
+        let limit = self.per_second().unwrap_or(0.0).max(MIN_RATE);
         let rate = limit * share.part;
-        if !self.is_ours() {
-            self.budget = TokenBucket::empty(now, rate, SAVED);
+        if !self.has_share() {
+            self.budget = TokenBucket::empty(now, rate, BURST_SECS);
         }
         self.budget.set_rate(now, rate);
         self.share = share;
     }
 
-    /// Whether others are to hear what the server said, or what it did say until lately.
-    fn is_told(&self, now: Micros) -> bool {
-        let has_just_ended = self.ended_at.is_some_and(|at| now - at < END_TOLD_AGAIN_FOR);
+    /// Whether the statement is reported to others: there is a limit, or it ended within
+    /// [`ENDED_REPORT_PERIOD`].
+    fn is_reportable(&self, now: Micros) -> bool {
+        let has_just_ended = self.ended_at.is_some_and(|at| now - at < ENDED_REPORT_PERIOD);
         self.per_second().is_some() || has_just_ended
     }
 
-    /// Forgets a limit that nobody has confirmed for long.
-    fn lapse(&mut self, now: Micros) {
-        if self.per_second().is_some() && now - self.confirmed_at >= LAPSES_AFTER {
-            self.word = None;
+    /// Drops a limit that was not confirmed within [`LIMIT_EXPIRY`].
+    fn expire(&mut self, now: Micros) {
+        if self.per_second().is_some() && now - self.confirmed_at >= LIMIT_EXPIRY {
+            self.latest = None;
             self.share = LimitShare::NONE;
         }
     }
 
-    /// What others hear of it that may have missed it.
-    fn told(&self, now: Micros) -> Option<RateLimit> {
-        let word = self.word.filter(|_| self.is_told(now))?;
-        (now - word.said_at < TOLD_AGAIN_FOR).then_some(word)
+    /// The statement to report to instances that may have missed it.
+    fn reportable(&self, now: Micros) -> Option<RateLimit> {
+        let limit = self.latest.filter(|_| self.is_reportable(now))?;
+        (now - limit.stated_at < MAX_REPEAT_AGE).then_some(limit)
     }
 }
 
-fn is_news(before: Option<f64>, now: Option<f64>) -> bool {
+fn is_update(before: Option<f64>, now: Option<f64>) -> bool {
     match (before, now) {
-        (Some(before), Some(now)) => (before - now).abs() > OTHER_LIMIT * before.max(now),
+        (Some(before), Some(now)) => (before - now).abs() > MIN_RELATIVE_CHANGE * before.max(now),
         (None, None) => false,
         (Some(_), None) | (None, Some(_)) => true,
     }
@@ -172,70 +177,76 @@
         self.limited.per_second().is_some()
     }
 
-    /// Slots that requests can be in at once where each takes `work`, of `slots`.
+    /// Number of the given `slots` that requests can use at once within the rate limit, where each
+    /// takes `work`.
     pub(super) fn slots_within_limit(&self, slots: f32, work: Micros) -> f32 {
         let seconds = work.0 as f32 / 1e6;
-        let most = self.limited.per_second().map(|limit| limit.max(LEAST_RATE) as f32 * seconds);
-        most.map_or(slots, |most| most.min(slots))
+        let max_slots = self.limited.per_second().map(|limit| limit.max(MIN_RATE) as f32 * seconds);
+        max_slots.map_or(slots, |max_slots| max_slots.min(slots))
     }
 }
 
 impl Placement {
-    /// Takes in what a server said of its rate limit; returns whether it is news.
-    pub fn hear_limit(&mut self, now: Micros, id: &BackendId, word: RateLimit) -> bool {
+    /// Adds a server's statement of its rate limit; returns whether it is an update.
+    pub fn update_limit(&mut self, now: Micros, id: &BackendId, limit: RateLimit) -> bool {
         match self.server_mut(id) {
-            Some(server) => server.limited.hear(now, word),
+            Some(server) => server.limited.update(now, limit),
             None => {
-                if word.per_second.is_some() {
-                    self.absent.of(now, id).limited.hear(now, word);
+                if limit.per_second.is_some() {
+                    self.delisted.entry(now, id).limited.update(now, limit);
                 }
                 false
             }
         }
     }
 
-    /// Takes over which part falls to this instance of the limit of each server that names one.
-    pub fn share_limits(&mut self, now: Micros, share: impl Fn(&BackendId, f64) -> LimitShare) {
-        for server in self.servers.iter_mut().filter(|server| server.limited.is_told(now)) {
-            server.limited.lapse(now);
+    /// Sets this instance's share of the limit of each rate-limited server.
+    pub fn assign_limit_shares(
+        &mut self,
+        now: Micros,
+        share: impl Fn(&BackendId, f64) -> LimitShare,
+    ) {
+        for server in self.servers.iter_mut().filter(|server| server.limited.is_reportable(now)) {
+            server.limited.expire(now);
             let per_second = server.limited.per_second().unwrap_or(0.0);
             server.limited.assign(now, share(&server.id, per_second));
         }
     }
 
-    /// What the servers said of their limits that an instance is to hear which has just become ready.
-    pub fn limits_told(&self, now: Micros) -> Vec<(BackendId, RateLimit)> {
-        let told = |server: &Server| Some((server.id.clone(), server.limited.told(now)?));
-        self.servers.iter().filter_map(told).collect()
+    /// The statements to report to an instance that has just become ready.
+    pub fn reportable_limits(&self, now: Micros) -> Vec<(BackendId, RateLimit)> {
+        let reportable =
+            |server: &Server| Some((server.id.clone(), server.limited.reportable(now)?));
+        self.servers.iter().filter_map(reportable).collect()
     }
 
-    /// What of that this instance is to tell all others again.
-    pub fn limits_told_again(&self, now: Micros) -> Vec<(BackendId, RateLimit)> {
+    /// The statements that this instance repeats to all others.
+    pub fn limits_to_repeat(&self, now: Micros) -> Vec<(BackendId, RateLimit)> {
         let is_broadcaster =
             |id: &BackendId| self.server(id).is_some_and(|s| s.limited.share.is_broadcaster);
-        let mut told = self.limits_told(now);
-        told.retain(|(id, _)| is_broadcaster(id));
-        told
+        let mut reportable = self.reportable_limits(now);
+        reportable.retain(|(id, _)| is_broadcaster(id));
+        reportable
     }
 
-    /// Servers that name a rate limit.
+    /// Number of rate-limited servers.
     pub fn limited_count(&self) -> usize {
         self.servers.iter().filter(|server| server.is_limited()).count()
     }
 
-    /// Whether a server names a rate limit.
+    /// Whether a server has stated a rate limit.
     pub fn is_limited(&self, id: &BackendId) -> bool {
         self.server(id).is_some_and(Server::is_limited)
     }
 
-    /// Takes a question to a server out of what the server takes, where it names a limit; false where that
-    /// leaves no room for one, or the server wants nothing for now.
-    pub fn take_question(&mut self, now: Micros, id: &BackendId) -> bool {
+    /// Charges a load query to the rate limit of the server, if there is one. Returns false if the
+    /// limit leaves no room for it or the server is paused.
+    pub fn try_take_query(&mut self, now: Micros, id: &BackendId) -> bool {
         let Some(server) = self.server_mut(id) else { return false };
-        let has_room = !server.is_paused(now) && server.limited.has_room(now);
-        if has_room {
+        let has_budget = !server.is_paused(now) && server.limited.has_budget(now);
+        if has_budget {
             server.limited.count(now);
         }
-        has_room
+        has_budget
     }
 }
--- a/crates/galenapath-policy/src/place/server.rs
+++ b/crates/galenapath-policy/src/place/server.rs
@@ -1,47 +1,48 @@
-//! One server as placement knows it.
+//! State of one server.
 
 use super::config::PlaceConfig;
-use super::known::Sighting;
-use super::rate_limit::Limited;
+use super::observation::LoadObservation;
+use super::rate_limit::RateLimitState;
 use super::warming::Warming;
 use galenapath_protocol::{BackendId, Micros};
 
-/// Largest weight of recent failures; a server that fails for long gets its trial no later.
-const MOST_TROUBLE: f32 = 4.0;
+/// Largest weight of recent failures, which limits how long a server that failed for long goes
+/// without requests.
+const MAX_FAILURE_WEIGHT: f32 = 4.0;
 
-/// Part of the time in which a sighting fades after which it has lost half of its weight.
-const KNOWN_PART: f32 = std::f32::consts::LN_2;
+/// Fraction of the decay time after which an observation has lost half of its weight.
+const FRESH_FRACTION: f32 = std::f32::consts::LN_2;
 
 /// One server.
 #[derive(Clone, Debug)]
 pub(super) struct Server {
     pub id: BackendId,
     pub slots: u32,
-    /// Whether it is in the own failure domain.
-    pub is_home: bool,
+    /// Whether it is in the failure domain of this instance.
+    pub is_local: bool,
     pub is_leaving: bool,
-    /// Whether it is to get nothing for now.
+    /// Whether it gets no requests because its failure domain is evacuated.
     pub is_withdrawn: bool,
-    /// Whether an idle connection to it is kept.
+    /// Whether an idle connection to it is open.
     pub is_connected: bool,
-    /// Until when it is taken to be cold: it works slowly and can take few requests.
+    /// Time until which it counts as cold: it is slow and can take few requests.
     pub cold_until: Micros,
     pub warming: Warming,
-    pub limited: Limited,
-    /// Until when it wants nothing from this instance.
+    pub limited: RateLimitState,
+    /// Time until which this instance sends no requests to it.
     pub paused_until: Micros,
-    /// Requests of this instance that are there now.
-    pub own: u32,
-    /// Of these, those that are not sent yet: no sighting counts them.
+    /// Number of this instance's requests that are assigned to it now.
+    pub own_requests: u32,
+    /// Of these, the ones that are not sent yet, which no observation counts.
     pub unsent: u32,
-    /// The newest sighting.
-    seen: Option<Sighting>,
-    /// Requests of other instances there, by the newest sighting.
-    others: u32,
-    /// Weight of recent failures at `trouble_at`.
-    trouble: f32,
-    trouble_at: Micros,
-    /// Until when it counts as unreachable.
+    /// The newest observation.
+    last_observation: Option<LoadObservation>,
+    /// Number of other instances' requests, by the newest observation.
+    other_requests: u32,
+    /// Weight of recent failures at `failure_weight_at`.
+    failure_weight: f32,
+    failure_weight_at: Micros,
+    /// Time until which it counts as unreachable.
     unreachable_until: Micros,
 }
 
@@ -50,44 +51,46 @@
         Self {
             id,
             slots: 1,
-            is_home: false,
+            is_local: false,
             is_leaving: false,
             is_withdrawn: false,
             is_connected: false,
             cold_until: Micros::ZERO,
             warming: Warming::default(),
-            limited: Limited::default(),
+            limited: RateLimitState::default(),
             paused_until: Micros::ZERO,
-            own: 0,
+            own_requests: 0,
             unsent: 0,
-            seen: None,
-            others: 0,
-            trouble: 0.0,
-            trouble_at: Micros::ZERO,
+            last_observation: None,
+            other_requests: 0,
+            failure_weight: 0.0,
+            failure_weight_at: Micros::ZERO,
             unreachable_until: Micros::ZERO,
         }
     }
 
-    /// Takes a sighting in; returns whether it was newer than what was known.
-    pub(super) fn see(&mut self, sighting: Sighting) -> bool {
-        if self.seen.is_some_and(|seen| seen.at >= sighting.at) {
+    /// Adds an observation; returns whether it is newer than the last one.
+    pub(super) fn observe(&mut self, observation: LoadObservation) -> bool {
+        if self.last_observation.is_some_and(|last| last.at >= observation.at) {
             return false;
         }
-        self.others = sighting.load().saturating_sub(self.own - self.unsent.min(self.own));
-        self.seen = Some(sighting);
-        self.slots = sighting.report.slots.max(1);
+        self.other_requests = observation
+            .load()
+            .saturating_sub(self.own_requests - self.unsent.min(self.own_requests));
+        self.last_observation = Some(observation);
+        self.slots = observation.report.slots.max(1);
         true
     }
 
-    pub(super) fn seen(&self) -> Option<Sighting> {
-        self.seen
+    pub(super) fn last_observation(&self) -> Option<LoadObservation> {
+        self.last_observation
     }
 
     pub(super) fn load(&self) -> u32 {
-        self.own + self.others
+        self.own_requests + self.other_requests
     }
 
-    /// Part of the slots in use, a request on its way included.
+    /// Fraction of the slots in use if it gets one more request.
     pub(super) fn fill(&self) -> f32 {
         (self.load() + 1) as f32 / self.slots as f32
     }
@@ -101,60 +104,68 @@
         !self.is_leaving && !self.is_withdrawn
     }
 
-    /// Forgets what was seen of it.
-    pub(super) fn forget(&mut self) {
-        self.seen = None;
-        self.others = 0;
+    /// Drops the last observation.
+    pub(super) fn clear_observation(&mut self) {
+        self.last_observation = None;
+        self.other_requests = 0;
     }
 
-    /// Whether it can be reached, takes requests and is not known to be slow.
+    /// Whether it is reachable, accepts requests and is not known to be slow.
     pub(super) fn is_good(&self, now: Micros) -> bool {
-        let is_slow = self.seen.is_some_and(|seen| seen.is_slow());
-        self.wants_requests(now) && self.is_reachable(now) && !is_slow
+        let is_slow = self.last_observation.is_some_and(|observation| observation.is_slow());
+        self.accepts_requests(now) && self.is_reachable(now) && !is_slow
     }
 
-    pub(super) fn reached(&mut self) {
+    pub(super) fn mark_reachable(&mut self) {
         self.unreachable_until = Micros::ZERO;
     }
 
-    pub(super) fn not_reached(&mut self, until: Micros) {
+    pub(super) fn mark_unreachable(&mut self, until: Micros) {
         self.unreachable_until = until;
     }
 
-    pub(super) fn trouble(&self, now: Micros, cfg: &PlaceConfig) -> f32 {
-        let halves = (now - self.trouble_at).0 as f32 / cfg.failure_fades.0 as f32;
-        self.trouble * (-halves * std::f32::consts::LN_2).exp()
+    pub(super) fn failure_weight(&self, now: Micros, cfg: &PlaceConfig) -> f32 {
+        let half_lives = (now - self.failure_weight_at).0 as f32 / cfg.failure_half_life.0 as f32;
+        self.failure_weight * (-half_lives * std::f32::consts::LN_2).exp()
     }
 
-    pub(super) fn failed(&mut self, now: Micros, cfg: &PlaceConfig, weight: f32) {
-        self.trouble = (self.trouble(now, cfg) + weight).min(MOST_TROUBLE);
-        self.trouble_at = now;
+    pub(super) fn record_failure(&mut self, now: Micros, cfg: &PlaceConfig, weight: f32) {
+        self.failure_weight = (self.failure_weight(now, cfg) + weight).min(MAX_FAILURE_WEIGHT);
+        self.failure_weight_at = now;
     }
 
-    pub(super) fn served(&mut self, now: Micros, cfg: &PlaceConfig) {
-        /// Part of the weight that stays after an answer in time.
-        const KEPT: f32 = 0.8;
-        self.trouble = self.trouble(now, cfg) * KEPT;
-        self.trouble_at = now;
+    pub(super) fn record_success(&mut self, now: Micros, cfg: &PlaceConfig) {
+        /// Fraction of the weight that remains after an answer in time.
+        const RETAINED: f32 = 0.8;
+        self.failure_weight = self.failure_weight(now, cfg) * RETAINED;
+        self.failure_weight_at = now;
     }
 
-    /// Extra time that a request of `work` takes when it begins at the pace that was seen. What begins
-    /// slowly ends slowly, also when the spell ends before.
-    pub(super) fn delay_when_seen(sighting: &Sighting, work: Micros) -> f32 {
-        (sighting.pace() - 1.0).max(0.0) * work.0 as f32
+    /// Additional time of a request of `work` that begins at the observed slowdown. A request that
+    /// begins slowly also ends slowly, even if the slow period ends before.
+    pub(super) fn observed_delay(observation: &LoadObservation, work: Micros) -> f32 {
+        (observation.slowdown() - 1.0).max(0.0) * work.0 as f32
     }
 
-    /// Whether it was seen so lately that its pace is more likely that of the sighting than any other.
-    pub(super) fn is_known(&self, now: Micros, cfg: &PlaceConfig) -> bool {
-        self.seen
-            .is_some_and(|seen| (now - seen.at).0 as f32 <= KNOWN_PART * cfg.pace_fades.0 as f32)
+    /// Whether the last observation is so recent that its slowdown is more likely than not to hold.
+    pub(super) fn is_fresh(&self, now: Micros, cfg: &PlaceConfig) -> bool {
+        self.last_observation.is_some_and(|observation| {
+            (now - observation.at).0 as f32 <= FRESH_FRACTION * cfg.observation_decay.0 as f32
+        })
     }
 
-    /// Extra time because of the pace now: what was seen, faded towards the average `usual`.
-    pub(super) fn delay(&self, now: Micros, work: Micros, usual: f32, cfg: &PlaceConfig) -> f32 {
-        let Some(seen) = &self.seen else { return usual };
-        let age = (now - seen.at).0 as f32 / cfg.pace_fades.0 as f32;
+    /// Expected additional time due to the slowdown now: the observed one, decaying with its age
+    /// towards the average.
+    pub(super) fn delay(
+        &self,
+        now: Micros,
+        work: Micros,
+        average_delay: f32,
+        cfg: &PlaceConfig,
+    ) -> f32 {
+        let Some(observation) = &self.last_observation else { return average_delay };
+        let age = (now - observation.at).0 as f32 / cfg.observation_decay.0 as f32;
         let weight = (-age).exp();
-        weight * Self::delay_when_seen(seen, work) + (1.0 - weight) * usual
+        weight * Self::observed_delay(observation, work) + (1.0 - weight) * average_delay
     }
 }
--- a/crates/galenapath-policy/src/place/shortage.rs
+++ b/crates/galenapath-policy/src/place/shortage.rs
@@ -1,18 +1,18 @@
-//! Why a service has few servers to give, for the log.
+//! Why a service has few available servers, for the log.
 
 use super::placement::Placement;
 use galenapath_protocol::Micros;
 
-/// What keeps most of a service's servers from getting requests.
+/// What keeps most servers of a service from getting requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
     /// Their failure domains are evacuated.
     Withdrawn,
     /// They are cold and can take few requests.
     Cold,
-    /// They name a rate limit.
+    /// They have stated a rate limit.
     Limited,
-    /// They want nothing from this instance for now.
+    /// They are paused for this instance.
     Paused,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl Placement {
-    /// What keeps half of the servers or more from getting requests, where something does.
+    /// Returns what keeps half of the servers or more from getting requests, if anything does.
     pub fn shortage(&self, now: Micros) -> Option<Shortage> {
         let is_most = |count: usize| count > 0 && 2 * count >= self.servers.len();
         let withdrawn = self.servers.iter().filter(|server| server.is_withdrawn).count();
--- a/crates/galenapath-policy/tests/place/copies.rs
+++ b/crates/galenapath-policy/tests/place/hedging.rs
@@ -1,6 +1,6 @@
-//! When a copy goes out.
+//! When a running request is hedged.
 
-use galenapath_policy::place::copies::{early_after, late_after, silent_after};
+use galenapath_policy::place::hedging::{early_after, late_after, silent_after};
 use galenapath_protocol::Micros;
 
 fn ms(n: u64) -> Micros {
@@ -8,13 +8,13 @@
 }
 
 #[test]
-fn early_while_the_copy_can_be_in_time() {
+fn early_while_hedge_can_be_in_time() {
     let after = early_after(ms(100), ms(300));
     assert!(after >= ms(140) && after <= ms(190), "{after:?}");
 }
 
 #[test]
-fn early_never_before_answers_are_usual() {
+fn early_never_before_usual_answer_time() {
     assert_eq!(early_after(ms(160), ms(200)), Micros(224_000));
     assert_eq!(early_after(ms(160), Micros::ZERO), Micros(224_000));
 }
--- a/crates/galenapath-policy/tests/place/limited_fleet.rs
+++ b/crates/galenapath-policy/tests/place/limited_fleet.rs
@@ -1,49 +1,49 @@
-//! Many instances in virtual time beside a server that names a rate limit: what they send, what they hear and
-//! tell each other, and what gets lost.
+//! Simulation of many instances and a rate-limited server in virtual time: requests, reports
+//! between the instances, and lost messages.
 
-use crate::support::{START, id, server, sighting};
+use crate::support::{START, id, observation, server};
 use galenapath_policy::measure::{LimitShare, Prober, limit_share};
-use galenapath_policy::place::{Ask, Choice, PlaceConfig, Placement, RateLimit};
+use galenapath_policy::place::{Choice, PlaceConfig, Placement, RateLimit, RequestCriteria};
 use galenapath_protocol::{DomainId, Incarnation, Micros};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
 const STEP: Micros = Micros::from_millis(10);
 const WORK: Micros = Micros::from_millis(80);
-const NAMED_AT: Micros = Micros::from_secs(11);
+const STATED_AT: Micros = Micros::from_secs(11);
 pub const ENDS_AT: Micros = Micros::from_secs(20);
 const END: Micros = Micros::from_secs(24);
 /// Span over which the server counts its requests.
 const SPAN: Micros = Micros::from_secs(4);
-/// Time after it first names the limit from which the span may end.
-const SETTLES: Micros = Micros::from_secs(3);
-/// Time after an instance has been told from which its requests count.
-const TOLD: Micros = Micros::from_millis(500);
-/// Time between two looks of an instance at what falls to it.
+/// Time after the limit is first stated from which the span may end.
+const SETTLING_TIME: Micros = Micros::from_secs(3);
+/// Time after an instance has received the limit from which its requests count.
+const RECEIVED_GRACE: Micros = Micros::from_millis(500);
+/// Interval at which an instance recomputes its shares.
 const REASSIGN: Micros = Micros::from_millis(250);
-const TELL_AGAIN: Micros = Micros::from_secs(2);
-/// Servers beside the limited one.
-const OTHERS: usize = 2;
+const REPEAT_INTERVAL: Micros = Micros::from_secs(2);
+/// Number of servers besides the limited one.
+const OTHER_SERVERS: usize = 2;
 
 /// The whole of a limit.
-pub const ALL: LimitShare = LimitShare { part: 1.0, is_broadcaster: true };
+pub const WHOLE_LIMIT: LimitShare = LimitShare { part: 1.0, is_broadcaster: true };
 
-/// What a run is drawn from.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub seed: u64,
     pub instances: usize,
     pub domains: usize,
     pub limit: f64,
-    /// Requests a second at one instance.
+    /// Requests per second at one instance.
     pub demand: f64,
-    /// Whether the other servers name the same limit.
+    /// Whether the other servers state the same limit.
     pub is_for_all: bool,
-    /// Restarts a second in the whole fleet.
+    /// Restarts per second in the whole fleet.
     pub restarts: f64,
-    /// Part of the messages between instances that is lost.
+    /// Fraction of the messages between instances that is lost.
     pub loss: f64,
-    /// Whether the limit is split among instances, and not kept by each of them for itself.
+    /// Whether the limit is split among instances, instead of applied by each instance on its own.
     pub is_split: bool,
 }
 
@@ -51,11 +51,11 @@
     incarnation: Incarnation,
     domain: DomainId,
     pub placement: Placement,
-    /// When it started, and until when others believe in the run before.
+    /// When it started, and when the others learn of this incarnation.
     started_at: Micros,
     known_from: Micros,
-    /// When it was first told of a limit by an answer.
-    told_at: Option<Micros>,
+    /// When an answer first stated a limit to it.
+    received_at: Option<Micros>,
 }
 
 /// An answer on its way back to an instance.
@@ -67,12 +67,12 @@
     sent_at: Micros,
 }
 
-/// What one instance tells another.
-struct Notice {
+/// A message from one instance to another.
+struct Message {
     at: Micros,
     to: usize,
     server: usize,
-    word: RateLimit,
+    limit: RateLimit,
 }
 
 pub struct Fleet {
@@ -80,9 +80,9 @@
     rng: SmallRng,
     pub nodes: Vec<Node>,
     answers: Vec<Answer>,
-    notices: Vec<Notice>,
-    /// Requests at the limited server: when, from whom, and whether that instance had been told.
-    came: Vec<(Micros, bool)>,
+    messages: Vec<Message>,
+    /// Requests at the limited server: the time, and whether the sender had received the limit.
+    arrivals: Vec<(Micros, bool)>,
 }
 
 impl Fleet {
@@ -93,8 +93,8 @@
             rng,
             nodes: Vec::new(),
             answers: Vec::new(),
-            notices: Vec::new(),
-            came: Vec::new(),
+            messages: Vec::new(),
+            arrivals: Vec::new(),
         };
         for n in 0..plan.instances {
             let node = fleet.start(n, START);
@@ -108,7 +108,7 @@
         let mut placement = Placement::new(PlaceConfig::default(), incarnation.0);
         let domain = n % self.plan.domains;
         let list: Vec<_> =
-            (0..=OTHERS).map(|s| server(s, s % self.plan.domains == domain)).collect();
+            (0..=OTHER_SERVERS).map(|s| server(s, s % self.plan.domains == domain)).collect();
         placement.set_servers(now, &list);
         let known_from = now + Micros::from_millis(self.rng.random_range(100..1_200));
         Node {
@@ -117,17 +117,18 @@
             placement,
             started_at: now,
             known_from,
-            told_at: None,
+            received_at: None,
         }
     }
 
     fn limit_of(&self, server: usize, at: Micros) -> Option<f64> {
-        let is_named = (NAMED_AT..ENDS_AT).contains(&at) && (server == 0 || self.plan.is_for_all);
-        is_named.then_some(self.plan.limit)
+        let is_stated = (STATED_AT..ENDS_AT).contains(&at) && (server == 0 || self.plan.is_for_all);
+        is_stated.then_some(self.plan.limit)
     }
 
-    /// The instances that the instance `own` takes to serve callers.
-    fn share(&mut self, own: usize, now: Micros) {
+    /// Assigns the shares of the instance `own`, among the instances that it knows to serve
+    /// callers.
+    fn assign_shares(&mut self, own: usize, now: Micros) {
         let domains = self.plan.domains;
         let known =
             self.nodes.iter().enumerate().filter(|(n, node)| {
@@ -144,28 +145,28 @@
         let own_incarnation = self.nodes[own].incarnation;
         let is_settled = now - self.nodes[own].started_at >= Micros::from_secs(1)
             || self.nodes[own].started_at == START;
-        for s in 0..=OTHERS {
+        for s in 0..=OTHER_SERVERS {
             let domain = DomainId(format!("d{}", s % domains).into());
             let share = limit_share(&probing, &domain, &id(s), own_incarnation, self.plan.limit);
-            let share = if self.plan.is_split { share } else { ALL };
+            let share = if self.plan.is_split { share } else { WHOLE_LIMIT };
             shares.push(if is_settled { share } else { LimitShare::NONE });
         }
         let at = |id: &galenapath_protocol::BackendId| id.0[1..].parse::<usize>().unwrap_or(0);
-        self.nodes[own].placement.share_limits(now, |id, _| shares[at(id)]);
+        self.nodes[own].placement.assign_limit_shares(now, |id, _| shares[at(id)]);
     }
 
-    fn hear(&mut self, n: usize, server: usize, word: RateLimit, now: Micros) {
-        if self.nodes[n].placement.hear_limit(now, &id(server), word) {
-            self.share(n, now);
-            self.tell(n, server, word, now);
+    fn receive(&mut self, n: usize, server: usize, limit: RateLimit, now: Micros) {
+        if self.nodes[n].placement.update_limit(now, &id(server), limit) {
+            self.assign_shares(n, now);
+            self.broadcast(n, server, limit, now);
         }
     }
 
-    fn tell(&mut self, from: usize, server: usize, word: RateLimit, now: Micros) {
+    fn broadcast(&mut self, from: usize, server: usize, limit: RateLimit, now: Micros) {
         for to in (0..self.nodes.len()).filter(|to| *to != from) {
             if !self.rng.random_bool(self.plan.loss) {
                 let at = now + Micros::from_millis(self.rng.random_range(1..60));
-                self.notices.push(Notice { at, to, server, word });
+                self.messages.push(Message { at, to, server, limit });
             }
         }
     }
@@ -179,23 +180,24 @@
                 continue;
             }
             node.placement.finish(&id(answer.server));
-            node.placement.see(&id(answer.server), sighting(now, 1, 100));
+            node.placement.observe(&id(answer.server), observation(now, 1, 100));
             let per_second = self.limit_of(answer.server, answer.at);
             let node = &mut self.nodes[answer.node];
             if answer.server == 0 && per_second.is_some() {
-                node.told_at.get_or_insert(now);
+                node.received_at.get_or_insert(now);
             }
-            let said_at = if per_second.is_some() { now } else { answer.sent_at };
-            self.hear(answer.node, answer.server, RateLimit { per_second, said_at }, now);
+            let stated_at = if per_second.is_some() { now } else { answer.sent_at };
+            self.receive(answer.node, answer.server, RateLimit { per_second, stated_at }, now);
         }
-        let notices: Vec<Notice> = self.notices.extract_if(.., |notice| due(notice.at)).collect();
-        for Notice { to, server, word, .. } in notices {
-            // Passed on, it would go round for ever.
-            if self.nodes[to].placement.hear_limit(now, &id(server), word) {
-                self.share(to, now);
+        let messages: Vec<Message> =
+            self.messages.extract_if(.., |message| due(message.at)).collect();
+        for Message { to, server, limit, .. } in messages {
+            // Not passed on, or it would circulate forever.
+            if self.nodes[to].placement.update_limit(now, &id(server), limit) {
+                self.assign_shares(to, now);
             }
         }
-        self.look(now);
+        self.run_timers(now);
         for n in 0..self.nodes.len() {
             let chance = self.plan.demand * STEP.0 as f64 / 1e6;
             if self.rng.random_bool(chance.min(1.0)) {
@@ -209,53 +211,55 @@
         }
     }
 
-    fn look(&mut self, now: Micros) {
+    fn run_timers(&mut self, now: Micros) {
         for n in 0..self.nodes.len() {
             let age = now - self.nodes[n].started_at;
             if age.0.is_multiple_of(REASSIGN.0) {
-                self.share(n, now);
+                self.assign_shares(n, now);
             }
-            if age.0.is_multiple_of(TELL_AGAIN.0) {
-                for (id, word) in self.nodes[n].placement.limits_told_again(now) {
-                    self.tell(n, id.0[1..].parse().unwrap_or(0), word, now);
+            if age.0.is_multiple_of(REPEAT_INTERVAL.0) {
+                for (id, limit) in self.nodes[n].placement.limits_to_repeat(now) {
+                    self.broadcast(n, id.0[1..].parse().unwrap_or(0), limit, now);
                 }
             }
         }
     }
 
     fn request(&mut self, n: usize, now: Micros) {
-        let ask = Ask { tried: &[], is_large: false, left: Micros::from_millis(300) };
+        let criteria =
+            RequestCriteria { tried: &[], is_large: false, time_left: Micros::from_millis(300) };
         let node = &mut self.nodes[n];
-        let Choice::Server(chosen) = node.placement.choose(now, &ask) else { return };
+        let Choice::Server(chosen) = node.placement.choose(now, &criteria) else { return };
         node.placement.start(now, &chosen);
-        node.placement.sent(&chosen);
+        node.placement.mark_sent(&chosen);
         let server: usize = chosen.0[1..].parse().unwrap_or(0);
         if server == 0 {
-            self.came.push((now, node.told_at.is_some_and(|at| now - at >= TOLD)));
+            self.arrivals
+                .push((now, node.received_at.is_some_and(|at| now - at >= RECEIVED_GRACE)));
         }
         let incarnation = node.incarnation;
         self.answers.push(Answer { at: now + WORK, node: n, incarnation, server, sent_at: now });
     }
 
-    /// Most requests that count within a span.
-    pub fn most(&self) -> usize {
+    /// Largest number of counted requests within a span.
+    pub fn max_requests_in_span(&self) -> usize {
         let counted: Vec<Micros> = self
-            .came
+            .arrivals
             .iter()
-            .filter(|(at, is_told)| *is_told && *at < ENDS_AT)
+            .filter(|(at, has_received)| *has_received && *at < ENDS_AT)
             .map(|(at, _)| *at)
             .collect();
         let within =
             |end: &Micros| counted.iter().filter(|at| **at <= *end && *end - **at < SPAN).count();
-        counted.iter().filter(|at| **at >= NAMED_AT + SETTLES).map(within).max().unwrap_or(0)
+        counted.iter().filter(|at| **at >= STATED_AT + SETTLING_TIME).map(within).max().unwrap_or(0)
     }
 }
 
-pub fn play(plan: Plan) -> Fleet {
-    play_until(plan, END)
+pub fn run(plan: Plan) -> Fleet {
+    run_until(plan, END)
 }
 
-pub fn play_until(plan: Plan, end: Micros) -> Fleet {
+pub fn run_until(plan: Plan, end: Micros) -> Fleet {
     let mut fleet = Fleet::new(plan);
     let mut now = START;
     while now < end {
@@ -265,6 +269,6 @@
     fleet
 }
 
-pub fn allowed(limit: f64) -> f64 {
+pub fn max_allowed(limit: f64) -> f64 {
     limit * SPAN.0 as f64 / 1e6 * 1.5 + 5.0
 }
--- a/crates/galenapath-policy/tests/place/main.rs
+++ b/crates/galenapath-policy/tests/place/main.rs
@@ -1,14 +1,14 @@
-//! Placement on servers whose pace changes, and who waits for them.
+//! Placement on servers that slow down and recover, and the queue of waiting requests.
 
 mod choose;
-mod copies;
-mod known;
+mod hedging;
 mod limited_fleet;
-mod patience;
+mod observation;
 mod pause;
 mod placement;
 mod queue;
 mod rate_limit;
 mod replay;
 mod support;
+mod time_spent;
 mod warming;
--- a/crates/galenapath-policy/tests/place/pause.rs
+++ b/crates/galenapath-policy/tests/place/pause.rs
@@ -1,10 +1,10 @@
-//! Servers that want nothing for a while.
+//! Paused servers.
 
-use crate::support::{START, WORK, ask, id, placement, server, spread};
+use crate::support::{START, WORK, criteria, id, placement, server, spread};
 use galenapath_policy::measure::LimitShare;
 use galenapath_policy::place::{
-    Choice, Entry, Line, Moved, Placed, Placement, QueueConfig, RateLimit, Refusal, Shortage,
-    Started, WaitQueue, Wanted,
+    Choice, Placement, PlacementOutcome, PlacementQueue, PlacementRequest, QueueConfig, QueueEntry,
+    QueueOutcome, QueueRejection, RateLimit, ServerSnapshot, Shortage, WaitQueue,
 };
 use galenapath_protocol::Micros;
 use proptest::prelude::*;
@@ -12,52 +12,52 @@
 const PAUSE: Micros = Micros::from_secs(2);
 const TARGET: Micros = Micros::from_millis(400);
 
-fn entry(ticket: u64) -> Entry {
-    Entry {
+fn entry(ticket: u64) -> QueueEntry {
+    QueueEntry {
         ticket,
         rank: 0,
         arrived: START,
         target: START + TARGET,
         deadline: START + Micros::from_secs(4),
-        is_picky: false,
+        has_exclusions: false,
     }
 }
 
-fn wanted(ticket: u64) -> Wanted {
-    Wanted { entry: entry(ticket), tried: Vec::new(), is_large: false }
+fn request(ticket: u64) -> PlacementRequest {
+    PlacementRequest { entry: entry(ticket), tried: Vec::new(), is_large: false }
 }
 
 #[test]
-fn paused_server_gets_nothing_until_its_pause_is_over() {
+fn pause_stops_requests_until_it_ends() {
     let mut placement = placement(&[true, true]);
     assert!(placement.pause(START, &id(0), PAUSE));
     let slots = placement.good_slots(START);
     assert!((slots - 6.0).abs() < 0.1, "{slots}");
     let just_before = START + PAUSE - Micros(1);
     for now in [START, just_before] {
-        assert_eq!(spread(&mut placement, now, &ask(TARGET), 20)[0], 0);
-        assert!(!placement.may_send(now, &id(0), Started::default()));
-        assert!(!placement.send_again(now, &id(0)));
-        assert!(!placement.take_question(now, &id(0)));
+        assert_eq!(spread(&mut placement, now, &criteria(TARGET), 20)[0], 0);
+        assert!(!placement.may_send(now, &id(0), ServerSnapshot::default()));
+        assert!(!placement.try_count_resend(now, &id(0)));
+        assert!(!placement.try_take_query(now, &id(0)));
     }
-    let over = START + PAUSE;
-    assert!(spread(&mut placement, over, &ask(TARGET), 20)[0] > 0);
-    assert!(placement.send_again(over, &id(0)));
-    assert!(placement.take_question(over, &id(0)));
+    let after = START + PAUSE;
+    assert!(spread(&mut placement, after, &criteria(TARGET), 20)[0] > 0);
+    assert!(placement.try_count_resend(after, &id(0)));
+    assert!(placement.try_take_query(after, &id(0)));
 }
 
 #[test]
-fn pause_is_made_longer_and_never_shorter() {
+fn pause_extended_never_shortened() {
     let mut placement = placement(&[true]);
     placement.pause(START, &id(0), PAUSE);
     assert!(!placement.pause(START, &id(0), Micros::from_millis(10)));
-    assert_eq!(placement.takes_one_in(START, &[]), Some(PAUSE));
+    assert_eq!(placement.time_until_accepting(START, &[]), Some(PAUSE));
     placement.pause(START, &id(0), PAUSE + PAUSE);
-    assert_eq!(placement.takes_one_in(START, &[]), Some(PAUSE + PAUSE));
+    assert_eq!(placement.time_until_accepting(START, &[]), Some(PAUSE + PAUSE));
 }
 
 #[test]
-fn pause_outlives_an_entry_that_lapses_and_comes_back() {
+fn pause_kept_while_delisted() {
     let mut placement = placement(&[true, true]);
     placement.pause(START, &id(0), PAUSE);
     let both = [server(0, true), server(1, true)];
@@ -68,41 +68,41 @@
 }
 
 #[test]
-fn time_until_a_server_takes_one_is_that_of_the_first() {
+fn time_until_accepting_is_that_of_the_first_server() {
     let mut placement = placement(&[true, true, true]);
     placement.pause(START, &id(0), PAUSE);
     placement.pause(START, &id(1), PAUSE + PAUSE);
-    let limit = RateLimit { per_second: Some(1.0), said_at: START };
-    placement.hear_limit(START, &id(2), limit);
-    // Other instances share the limit.
-    assert_eq!(placement.takes_one_in(START, &[]), Some(PAUSE));
-    assert_eq!(placement.takes_one_in(START, &[id(0)]), Some(PAUSE + PAUSE));
-    placement.share_limits(START, |_, _| LimitShare { part: 1.0, is_broadcaster: true });
-    assert_eq!(placement.takes_one_in(START, &[]), Some(Micros::from_secs(1)));
+    let limit = RateLimit { per_second: Some(1.0), stated_at: START };
+    placement.update_limit(START, &id(2), limit);
+    // The limit is assigned to other instances.
+    assert_eq!(placement.time_until_accepting(START, &[]), Some(PAUSE));
+    assert_eq!(placement.time_until_accepting(START, &[id(0)]), Some(PAUSE + PAUSE));
+    placement.assign_limit_shares(START, |_, _| LimitShare { part: 1.0, is_broadcaster: true });
+    assert_eq!(placement.time_until_accepting(START, &[]), Some(Micros::from_secs(1)));
     placement.mark_leaving(&id(2));
-    assert_eq!(placement.takes_one_in(START, &[id(0), id(1)]), None);
+    assert_eq!(placement.time_until_accepting(START, &[id(0), id(1)]), None);
 }
 
 #[test]
-fn request_that_waits_is_turned_away_when_no_server_wants_it_in_time() {
+fn poll_rejects_when_no_server_accepts_in_time() {
     let mut placement = placement(&[true]);
     for _ in 0..6 {
         placement.start(START, &id(0));
     }
-    let mut line = Line::new(WaitQueue::new(QueueConfig::default()));
-    assert_eq!(line.place(START, &mut placement, wanted(1), 1.0), Placed::Waits);
-    assert!(line.poll(START, &mut placement).is_empty());
-    // A short pause still leaves it time.
+    let mut queue = PlacementQueue::new(WaitQueue::new(QueueConfig::default()));
+    assert_eq!(queue.place(START, &mut placement, request(1), 1.0), PlacementOutcome::Queued);
+    assert!(queue.poll(START, &mut placement).is_empty());
+    // A short pause still leaves the request enough time.
     placement.pause(START, &id(0), Micros::from_millis(50));
-    assert!(line.poll(START, &mut placement).is_empty());
+    assert!(queue.poll(START, &mut placement).is_empty());
     placement.pause(START, &id(0), PAUSE);
-    let refusal = Refusal { retry_after: PAUSE, predicted: PAUSE };
-    let moved = line.poll(START, &mut placement);
-    assert_eq!(moved, [Moved { ticket: 1, result: Err(refusal) }]);
+    let rejection = QueueRejection { retry_after: PAUSE, predicted_wait: PAUSE };
+    let outcomes = queue.poll(START, &mut placement);
+    assert_eq!(outcomes, [QueueOutcome { ticket: 1, result: Err(rejection) }]);
 }
 
 #[test]
-fn shortage_of_servers_that_pause_is_told() {
+fn shortage_reports_paused_servers() {
     let mut placement = placement(&[true, true]);
     placement.pause(START, &id(0), PAUSE);
     assert_eq!(placement.shortage(START), Some(Shortage::Paused));
@@ -110,10 +110,10 @@
 }
 
 proptest! {
-    /// Whatever servers say and when, no request is given to one that wants nothing, and a request is turned
-    /// away only while none wants it.
+    /// No request is assigned to a paused server, and no request waits or is rejected while a
+    /// server is not paused.
     #[test]
-    fn paused_servers_never_chosen(
+    fn choose_never_paused_servers(
         seed in any::<u64>(),
         steps in prop::collection::vec((0_usize..4, 0_u64..1_500, 1_u64..60), 1..200),
     ) {
@@ -128,16 +128,16 @@
                 placement.pause(now, &id(at), Micros::from_millis(pause_ms));
                 until[at] = until[at].max(now + Micros::from_millis(pause_ms));
             }
-            match placement.choose(now, &ask(TARGET)) {
+            match placement.choose(now, &criteria(TARGET)) {
                 Choice::Server(chosen) => {
                     let n: usize = chosen.0[1..].parse().unwrap();
                     prop_assert!(until[n] <= now, "{} at {:?}", n, now);
                     placement.start(now, &chosen);
-                    placement.sent(&chosen);
-                    placement.served(now, &chosen, WORK, Started::default());
+                    placement.mark_sent(&chosen);
+                    placement.record_success(now, &chosen, WORK, ServerSnapshot::default());
                     placement.finish(&chosen);
                 }
-                Choice::Wait | Choice::Nowhere => {
+                Choice::Wait | Choice::NoServer => {
                     prop_assert!(until.iter().all(|until| *until > now));
                 }
             }
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn pause_asked_for_while_the_entry_is_gone_holds_when_it_is_back() {
+fn pause_while_delisted_applies_when_listed_again() {
     let mut placement = placement(&[true, true]);
     let both = [server(0, true), server(1, true)];
     placement.set_servers(START, &both[1..]);
--- a/crates/galenapath-policy/tests/place/rate_limit.rs
+++ b/crates/galenapath-policy/tests/place/rate_limit.rs
@@ -1,12 +1,12 @@
-//! A server that names a rate limit under the load of many instances, some of which restart.
+//! Rate-limited servers under the load of many instances, some of which restart.
 
-use crate::limited_fleet::{ALL, ENDS_AT, Plan, allowed, play, play_until};
-use crate::support::{START, ask, id, server, sighting};
-use galenapath_policy::place::{Choice, Placement, RateLimit, Started};
+use crate::limited_fleet::{ENDS_AT, Plan, WHOLE_LIMIT, max_allowed, run, run_until};
+use crate::support::{START, criteria, id, observation, server};
+use galenapath_policy::place::{Choice, Placement, RateLimit, ServerSnapshot};
 use galenapath_protocol::Micros;
 use proptest::prelude::*;
 
-fn calm(instances: usize, limit: f64) -> Plan {
+fn lossless_plan(instances: usize, limit: f64) -> Plan {
     Plan {
         seed: 1,
         instances,
@@ -24,7 +24,7 @@
     #![proptest_config(ProptestConfig { cases: 32, ..ProptestConfig::default() })]
 
     #[test]
-    fn limit_kept_by_all_instances_whatever_restarts_or_gets_lost(
+    fn limit_kept_despite_restarts_and_losses(
         seed in any::<u64>(),
         instances in 1_usize..32,
         domains in 1_usize..4,
@@ -37,104 +37,113 @@
         let is_split = true;
         let plan =
             Plan { seed, instances, domains, limit, demand, is_for_all, restarts, loss, is_split };
-        let fleet = play(plan);
-        let most = fleet.most();
-        prop_assert!(most as f64 <= allowed(limit), "{} of {}", most, allowed(limit));
+        let fleet = run(plan);
+        let requests = fleet.max_requests_in_span();
+        prop_assert!(
+            requests as f64 <= max_allowed(limit),
+            "{} of {}",
+            requests,
+            max_allowed(limit)
+        );
     }
 }
 
 #[test]
-fn limit_kept_by_hundreds_of_instances_and_used() {
+fn limit_kept_and_used_by_hundreds_of_instances() {
     for limit in [0.0, 0.5, 2.1, 6.1, 40.0] {
-        let fleet = play(calm(300, limit));
-        let most = fleet.most() as f64;
-        assert!(most <= allowed(limit), "{most} at a limit of {limit}");
-        // Instances that send it nothing else use most of what it takes.
-        assert!(most >= limit * 4.0 * 0.6, "{most} at a limit of {limit}");
+        let fleet = run(lossless_plan(300, limit));
+        let requests = fleet.max_requests_in_span() as f64;
+        assert!(requests <= max_allowed(limit), "{requests} at a limit of {limit}");
+        // Instances that have no other traffic for the server use most of its limit.
+        assert!(requests >= limit * 4.0 * 0.6, "{requests} at a limit of {limit}");
     }
 }
 
 #[test]
-fn limit_overrun_where_each_instance_keeps_it_for_itself() {
-    let fleet = play(Plan { is_split: false, ..calm(16, 2.1) });
-    assert!(fleet.most() as f64 > allowed(2.1), "{}", fleet.most());
+fn limit_exceeded_if_not_split() {
+    let fleet = run(Plan { is_split: false, ..lossless_plan(16, 2.1) });
+    assert!(
+        fleet.max_requests_in_span() as f64 > max_allowed(2.1),
+        "{}",
+        fleet.max_requests_in_span()
+    );
 }
 
 #[test]
-fn limit_that_has_ended_is_forgotten_by_all() {
-    let mut plan = calm(24, 2.0);
+fn limit_end_reaches_all() {
+    let mut plan = lossless_plan(24, 2.0);
     plan.loss = 0.2;
-    // Five times as long as it takes until it is told again.
-    let fleet = play_until(plan, ENDS_AT + Micros::from_secs(11));
+    // Five times the interval at which the end of a limit is repeated.
+    let fleet = run_until(plan, ENDS_AT + Micros::from_secs(11));
     for node in &fleet.nodes {
         assert_eq!(node.placement.limited_count(), 0);
     }
 }
 
-/// A placement that has heard of a limit of the first server, of which all falls to it.
+/// A placement with the rate limit of the first server, the whole of which is assigned to it.
 fn limited(per_second: f64) -> Placement {
     let mut placement = crate::support::placement(&[true, true]);
-    hear(&mut placement, Some(per_second), START);
-    placement.share_limits(START, |_, _| ALL);
+    state_limit(&mut placement, Some(per_second), START);
+    placement.assign_limit_shares(START, |_, _| WHOLE_LIMIT);
     placement
 }
 
-fn hear(placement: &mut Placement, per_second: Option<f64>, said_at: Micros) -> bool {
-    placement.hear_limit(said_at, &id(0), RateLimit { per_second, said_at })
+fn state_limit(placement: &mut Placement, per_second: Option<f64>, stated_at: Micros) -> bool {
+    placement.update_limit(stated_at, &id(0), RateLimit { per_second, stated_at })
 }
 
 #[test]
-fn limit_ended_by_an_answer_to_a_request_sent_before_it_was_named() {
+fn update_limit_ignores_older_statement() {
     let mut placement = limited(2.0);
-    assert!(!hear(&mut placement, None, START - Micros::from_millis(5)));
+    assert!(!state_limit(&mut placement, None, START - Micros::from_millis(5)));
     assert!(placement.is_limited(&id(0)));
-    assert!(hear(&mut placement, None, START + Micros::from_millis(5)));
+    assert!(state_limit(&mut placement, None, START + Micros::from_millis(5)));
     assert!(!placement.is_limited(&id(0)));
 }
 
 #[test]
-fn server_that_has_named_a_limit_is_unfit_for_what_was_given_before() {
+fn may_send_false_if_limited_since_assignment() {
     let mut placement = crate::support::placement(&[true, true]);
     let before = placement.start(START, &id(0));
     assert!(placement.may_send(START, &id(0), before));
-    hear(&mut placement, Some(2.0), START);
+    state_limit(&mut placement, Some(2.0), START);
     assert!(!placement.may_send(START, &id(0), before));
-    assert!(placement.may_send(START, &id(0), Started { is_limited: true, ..before }));
+    assert!(placement.may_send(START, &id(0), ServerSnapshot { is_limited: true, ..before }));
     assert!(!placement.is_fit(START, &id(0), before));
 }
 
 #[test]
-fn limited_server_takes_sends_again_and_questions_from_its_limit() {
+fn limit_charged_for_resends_and_queries() {
     let mut placement = limited(2.0);
     let half = START + Micros::from_millis(500);
-    assert!(!placement.send_again(START, &id(0)));
-    assert!(placement.send_again(half, &id(0)));
-    assert!(!placement.take_question(half, &id(0)));
-    assert!(placement.take_question(half + Micros::from_millis(500), &id(0)));
-    // One that names none takes any.
-    assert!(placement.take_question(half, &id(1)));
-    assert!(placement.send_again(half, &id(1)));
+    assert!(!placement.try_count_resend(START, &id(0)));
+    assert!(placement.try_count_resend(half, &id(0)));
+    assert!(!placement.try_take_query(half, &id(0)));
+    assert!(placement.try_take_query(half + Micros::from_millis(500), &id(0)));
+    // A server without a rate limit accepts any number.
+    assert!(placement.try_take_query(half, &id(1)));
+    assert!(placement.try_count_resend(half, &id(1)));
 }
 
 #[test]
-fn limit_that_nobody_confirms_lapses() {
+fn limit_expires_without_confirmation() {
     let mut placement = limited(2.0);
-    let all = |_: &_, _| ALL;
-    placement.share_limits(START + Micros::from_secs(59), all);
+    let all = |_: &_, _| WHOLE_LIMIT;
+    placement.assign_limit_shares(START + Micros::from_secs(59), all);
     assert!(placement.is_limited(&id(0)));
-    placement.share_limits(START + Micros::from_secs(60), all);
+    placement.assign_limit_shares(START + Micros::from_secs(60), all);
     assert!(!placement.is_limited(&id(0)));
 }
 
 #[test]
-fn slots_of_limited_servers_count_as_far_as_their_limit_goes() {
+fn good_slots_bounded_by_limit() {
     let placement = limited(2.0);
     let work = placement.work().0 as f32 / 1e6;
     assert!((placement.good_slots(START) - (6.0 + 2.0 * work)).abs() < 0.01);
 }
 
 #[test]
-fn limit_outlives_an_entry_that_lapses_and_comes_back() {
+fn limit_kept_while_delisted() {
     let mut placement = limited(2.0);
     let both = [server(0, true), server(1, true)];
     placement.set_servers(START, &both[1..]);
@@ -142,35 +151,36 @@
     placement.set_servers(back, &both);
     assert!(placement.is_limited(&id(0)));
     assert!(!placement.is_limited(&id(1)));
-    // It is long since the server said so: another run of it may have said otherwise to nobody.
+    // The statement is too old: a later process run may have stated otherwise without this instance
+    // learning of it.
     placement.set_servers(back, &both[1..]);
     placement.set_servers(back + Micros::from_secs(60), &both);
     assert!(!placement.is_limited(&id(0)));
 }
 
 #[test]
-fn limited_server_is_waited_for_only_where_its_turn_comes_in_time() {
-    // The other one is slow: its answer would be too late for most.
+fn choose_waits_for_limited_server_if_in_time() {
+    // The other server is slow: its answer would be too late for most requests.
     let mut placement = limited(2.0);
-    placement.see(&id(0), sighting(START, 0, 100));
-    placement.see(&id(1), sighting(START, 0, 3_000));
+    placement.observe(&id(0), observation(START, 0, 100));
+    placement.observe(&id(1), observation(START, 0, 3_000));
     let chosen = |placement: &mut Placement, left_ms| {
-        placement.choose(START, &ask(Micros::from_millis(left_ms)))
+        placement.choose(START, &criteria(Micros::from_millis(left_ms)))
     };
     assert_eq!(chosen(&mut placement, 700), Choice::Wait);
     assert_eq!(chosen(&mut placement, 400), Choice::Server(id(1)));
     placement.mark_leaving(&id(1));
     assert_eq!(chosen(&mut placement, 700), Choice::Wait);
-    assert_eq!(chosen(&mut placement, 400), Choice::Nowhere);
+    assert_eq!(chosen(&mut placement, 400), Choice::NoServer);
 }
 
 #[test]
-fn limit_named_while_the_entry_is_gone_holds_when_it_is_back() {
+fn limit_while_delisted_applies_when_listed_again() {
     let mut placement = crate::support::placement(&[true, true]);
     let both = [server(0, true), server(1, true)];
     placement.set_servers(START, &both[1..]);
     // The answer to a request that was sent before.
-    assert!(!hear(&mut placement, Some(2.0), START));
+    assert!(!state_limit(&mut placement, Some(2.0), START));
     placement.set_servers(START + Micros::from_secs(3), &both);
     assert!(placement.is_limited(&id(0)));
 }
--- a/crates/galenapath-policy/tests/place/replay.rs
+++ b/crates/galenapath-policy/tests/place/replay.rs
@@ -1,7 +1,9 @@
-//! The load that placement answers, replayed: servers that work seven times slower for spells of
-//! half a second, a quarter of them at a time, and instances that ask before they send.
+//! Replays the load pattern of placement: a quarter of the servers at a time work seven times
+//! slower for periods of half a second, and instances query a server before they send.
 
-use galenapath_policy::place::{Ask, Choice, PlaceConfig, PlacedServer, Placement, Sighting};
+use galenapath_policy::place::{
+    Choice, LoadObservation, PlaceConfig, PlacedServer, Placement, RequestCriteria,
+};
 use galenapath_protocol::{BackendId, LoadReport, Micros};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -11,25 +13,25 @@
 const WORK_US: u64 = 160_000;
 const TARGET: Micros = Micros::from_millis(400);
 const REQUESTS: usize = 6_000;
-/// Time between two requests of one of six instances that share 200 a second.
+/// Time between two requests of one of six instances that share 200 per second.
 const GAP: Micros = Micros::from_millis(30);
-const SPELL: Micros = Micros::from_millis(500);
+const SLOW_PERIOD: Micros = Micros::from_millis(500);
 
-/// How an instance learns of a server's pace.
+/// How an instance learns of a server's slowdown.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Knowledge {
+enum LoadSource {
     /// From answers only.
     Answers,
-    /// From answers and a question before each send.
-    Question,
+    /// From answers and a load query before each send.
+    Query,
 }
 
-struct World {
+struct Servers {
     pace: Vec<u32>,
     ends: Vec<Vec<u64>>,
 }
 
-impl World {
+impl Servers {
     fn report(&mut self, server: usize, now: Micros) -> LoadReport {
         self.ends[server].retain(|end| *end > now.0);
         LoadReport {
@@ -42,8 +44,8 @@
     }
 }
 
-/// Share of the requests that are answered within the target.
-fn in_target(knowledge: Knowledge, seed: u64) -> f64 {
+/// Fraction of the requests that are answered within the target.
+fn in_target(source: LoadSource, seed: u64) -> f64 {
     let mut rng = SmallRng::seed_from_u64(seed);
     let ids: Vec<BackendId> = (0..SERVERS).map(|n| BackendId(format!("s{n}").into())).collect();
     let mut placement = Placement::new(PlaceConfig::default(), seed);
@@ -52,7 +54,7 @@
         .map(|id| PlacedServer {
             id: id.clone(),
             slots: SLOTS,
-            is_home: true,
+            is_local: true,
             is_leaving: false,
             is_withdrawn: false,
             cold_for: Micros::ZERO,
@@ -60,35 +62,36 @@
         .collect();
     let mut now = Micros::from_secs(1);
     placement.set_servers(now, &list);
-    let mut world = World { pace: vec![100; SERVERS], ends: vec![Vec::new(); SERVERS] };
-    let mut running: Vec<(u64, usize, Micros, galenapath_policy::place::Started)> = Vec::new();
+    let mut servers = Servers { pace: vec![100; SERVERS], ends: vec![Vec::new(); SERVERS] };
+    let mut running: Vec<(u64, usize, Micros, galenapath_policy::place::ServerSnapshot)> =
+        Vec::new();
     let mut good = 0;
     for _ in 0..REQUESTS {
         now = now + GAP;
-        for pace in &mut world.pace {
-            if rng.random::<f64>() < GAP.0 as f64 / SPELL.0 as f64 {
+        for pace in &mut servers.pace {
+            if rng.random::<f64>() < GAP.0 as f64 / SLOW_PERIOD.0 as f64 {
                 *pace = if rng.random::<f64>() < 0.25 { 700 } else { 100 };
             }
         }
         running.sort_by_key(|run| run.0);
         while running.first().is_some_and(|run| run.0 <= now.0) {
-            let (end, server, latency, started) = running.remove(0);
+            let (end, server, latency, snapshot) = running.remove(0);
             placement.finish(&ids[server]);
-            placement.served(now, &ids[server], latency, started);
-            let report = world.report(server, now);
-            placement.see(&ids[server], Sighting { at: Micros(end), report });
+            placement.record_success(now, &ids[server], latency, snapshot);
+            let report = servers.report(server, now);
+            placement.observe(&ids[server], LoadObservation { at: Micros(end), report });
         }
         let mut chosen = None;
         for _ in 0..4 {
-            let ask = Ask { tried: &[], is_large: false, left: TARGET };
-            let Choice::Server(id) = placement.choose(now, &ask) else { break };
+            let criteria = RequestCriteria { tried: &[], is_large: false, time_left: TARGET };
+            let Choice::Server(id) = placement.choose(now, &criteria) else { break };
             let server = ids.iter().position(|other| *other == id).unwrap_or(0);
-            let started = placement.start(now, &id);
-            chosen = Some((server, started));
-            if knowledge == Knowledge::Question {
-                let report = world.report(server, now);
-                placement.see(&id, Sighting { at: now, report });
-                if !placement.is_fit(now, &id, started) {
+            let snapshot = placement.start(now, &id);
+            chosen = Some((server, snapshot));
+            if source == LoadSource::Query {
+                let report = servers.report(server, now);
+                placement.observe(&id, LoadObservation { at: now, report });
+                if !placement.is_fit(now, &id, snapshot) {
                     placement.finish(&id);
                     chosen = None;
                     continue;
@@ -96,12 +99,12 @@
             }
             break;
         }
-        let Some((server, started)) = chosen else { continue };
-        placement.sent(&ids[server]);
-        let work = WORK_US as f64 * f64::from(world.pace[server]) / 100.0;
+        let Some((server, snapshot)) = chosen else { continue };
+        placement.mark_sent(&ids[server]);
+        let work = WORK_US as f64 * f64::from(servers.pace[server]) / 100.0;
         let latency = Micros((work * (0.7 + 0.6 * rng.random::<f64>())) as u64);
-        world.ends[server].push(now.0 + latency.0);
-        running.push((now.0 + latency.0, server, latency, started));
+        servers.ends[server].push(now.0 + latency.0);
+        running.push((now.0 + latency.0, server, latency, snapshot));
         if latency <= TARGET {
             good += 1;
         }
@@ -110,12 +113,15 @@
 }
 
 #[test]
-fn replay_question_before_send_keeps_the_target() {
+fn replay_query_before_send_keeps_the_target() {
     for seed in [1, 2, 3] {
-        let asked = in_target(Knowledge::Question, seed);
-        let blind = in_target(Knowledge::Answers, seed);
-        assert!(asked > 0.97, "seed {seed}: {asked}");
-        // A tenth fewer would be chance; measured: half of the misses.
-        assert!(1.0 - asked < (1.0 - blind) * 0.7, "seed {seed}: asked {asked}, blind {blind}");
+        let queried = in_target(LoadSource::Query, seed);
+        let unqueried = in_target(LoadSource::Answers, seed);
+        assert!(queried > 0.97, "seed {seed}: {queried}");
+        // A tenth fewer misses could be chance; queries avoid about half of them.
+        assert!(
+            1.0 - queried < (1.0 - unqueried) * 0.7,
+            "seed {seed}: queried {queried}, unqueried {unqueried}"
+        );
     }
 }
