--- a/crates/galenapath-gateway/src/probe.rs
+++ b/crates/galenapath-gateway/src/probe.rs
@@ -9,7 +9,9 @@
 use crate::service::Service;
 use galenapath_http::{Connection, HttpError};
 use galenapath_membership::{Beats, Peer};
-use galenapath_policy::measure::{LimitShare, Prober, limit_share, prober, warming_instance};
+use galenapath_policy::measure::{
+    LimitShare, Prober, limit_share, probing_instance, warming_instance,
+};
 use galenapath_protocol::{BackendId, FastMap, Micros};
 use monoio::net::TcpStream;
 use std::net::SocketAddr;
@@ -161,7 +163,8 @@
     for service in instance.services.borrow().values() {
         service.refresh(instance);
         for server in service.servers() {
-            if prober(&probing, &server.domain, &server.id) == Some(instance.incarnation) {
+            if probing_instance(&probing, &server.domain, &server.id) == Some(instance.incarnation)
+            {
                 mine.insert(server.id, (Rc::clone(service), server.address));
             }
         }
--- a/crates/galenapath-policy/src/measure/mod.rs
+++ b/crates/galenapath-policy/src/measure/mod.rs
@@ -9,7 +9,7 @@
 
 pub use budget::ProbeBudget;
 pub use cross_domain::CrossDomainSends;
-pub use probers::{LimitShare, Prober, limit_share, prober, warming_instance};
+pub use probers::{LimitShare, Prober, limit_share, probing_instance, warming_instance};
 pub use query_shares::{QueryShares, ServedRates};
 pub use query_times::QueryTimes;
 pub use token_bucket::TokenBucket;
--- a/crates/galenapath-policy/src/measure/probers.rs
+++ b/crates/galenapath-policy/src/measure/probers.rs
@@ -24,7 +24,11 @@
 }
 
 /// Returns which of the probing instances probes the server `id` of failure domain `domain`.
-pub fn prober(probing: &[Prober<'_>], domain: &DomainId, id: &BackendId) -> Option<Incarnation> {
+pub fn probing_instance(
+    probing: &[Prober<'_>],
+    domain: &DomainId,
+    id: &BackendId,
+) -> Option<Incarnation> {
     highest_score(local(probing, domain), id).or_else(|| highest_score(cross_domain(probing), id))
 }
 
@@ -36,7 +40,7 @@
     domain: &DomainId,
     id: &BackendId,
 ) -> Option<Incarnation> {
-    prober(probing, domain, id).or_else(|| highest_score(probing.iter(), id))
+    probing_instance(probing, domain, id).or_else(|| highest_score(probing.iter(), id))
 }
 
 /// One instance's share of a server's rate limit.
--- a/crates/galenapath-policy/tests/measure/probers.rs
+++ b/crates/galenapath-policy/tests/measure/probers.rs
@@ -1,6 +1,6 @@
 //! Assignment of probes and of rate limit shares.
 
-use galenapath_policy::measure::{LimitShare, Prober, limit_share, prober};
+use galenapath_policy::measure::{LimitShare, Prober, limit_share, probing_instance};
 use galenapath_protocol::{BackendId, DomainId, Incarnation};
 
 fn domain(n: u64) -> DomainId {
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn prober_spreads_servers_over_local_instances() {
+fn probing_instance_spreads_servers_over_local_instances() {
     let domains = [domain(0), domain(1)];
     let probing: Vec<Prober<'_>> = (0..6)
         .map(|n| Prober {
@@ -21,8 +21,10 @@
             is_cross_domain: true,
         })
         .collect();
-    let chosen: Vec<u64> =
-        (0..300).filter_map(|n| prober(&probing, &domains[0], &id(n))).map(|i| i.0).collect();
+    let chosen: Vec<u64> = (0..300)
+        .filter_map(|n| probing_instance(&probing, &domains[0], &id(n)))
+        .map(|i| i.0)
+        .collect();
     assert_eq!(chosen.len(), 300);
     for n in [0, 2, 4] {
         let count = chosen.iter().filter(|chosen| **chosen == n).count();
@@ -31,12 +33,15 @@
 }
 
 #[test]
-fn prober_of_domain_without_instances_sends_across_domains() {
+fn probing_instance_of_domain_without_instances_sends_across_domains() {
     let home = domain(0);
     let at =
         |n, is_cross_domain| Prober { incarnation: Incarnation(n), domain: &home, is_cross_domain };
-    assert_eq!(prober(&[at(1, false), at(2, false)], &domain(9), &id(1)), None);
-    assert_eq!(prober(&[at(1, false), at(2, true)], &domain(9), &id(1)), Some(Incarnation(2)));
+    assert_eq!(probing_instance(&[at(1, false), at(2, false)], &domain(9), &id(1)), None);
+    assert_eq!(
+        probing_instance(&[at(1, false), at(2, true)], &domain(9), &id(1)),
+        Some(Incarnation(2))
+    );
 }
 
 #[test]
