--- a/crates/galenapath-gateway/src/call.rs
+++ b/crates/galenapath-gateway/src/call.rs
@@ -53,7 +53,7 @@
     /// Records that the request is being sent to `server`.
     pub(crate) fn record_send(&self, server: &BackendId) {
         let now = self.instance.now();
-        if let Some(observation) = self.service.placement.borrow().seen(server) {
+        if let Some(observation) = self.service.placement.borrow().last_observation(server) {
             let LoadReport { in_flight, slots, pace, .. } = observation.report;
             let age = (now - observation.at).0 / 1_000;
             let load = format!("load{in_flight}/{slots}:pace{pace}:known{age}ms ");
@@ -122,22 +122,25 @@
         let kind = self.req.route.kind.as_str();
         let mut placement = self.service.placement.borrow_mut();
         if !matches!(result, Err(AttemptError::QueryBudgetSpent)) {
-            placement.found(in_flight.snapshot, !matches!(result, Err(AttemptError::Unfit)));
+            placement
+                .record_fitness(in_flight.snapshot, !matches!(result, Err(AttemptError::Unfit)));
         }
         match result {
-            Ok(reply) if reply.status.is_server_error() => placement.failed(now, server, 1.0),
+            Ok(reply) if reply.status.is_server_error() => {
+                placement.record_failure(now, server, 1.0)
+            }
             Ok(_) => {
-                placement.served(now, server, took, in_flight.snapshot);
+                placement.record_success(now, server, took, in_flight.snapshot);
                 let seconds = took.as_millis_f64() / 1_000.0;
                 let labels = [kind, self.service.name.as_str()];
                 self.instance.metrics.work.with_label_values(&labels).observe(seconds);
             }
             Err(AttemptError::Unreachable) => {
-                placement.failed(now, server, 1.0);
-                placement.not_reached(now, server);
+                placement.record_failure(now, server, 1.0);
+                placement.mark_unreachable(now, server);
             }
             Err(AttemptError::Unfit | AttemptError::QueryBudgetSpent) => {}
-            Err(error) => placement.failed(now, server, error.weight()),
+            Err(error) => placement.record_failure(now, server, error.weight()),
         }
         drop(placement);
         let weight = match result {
--- a/crates/galenapath-gateway/src/exchange.rs
+++ b/crates/galenapath-gateway/src/exchange.rs
@@ -8,7 +8,7 @@
 use crate::reply::Reply;
 use crate::waiting::NoServer;
 use futures::future::{Either, select};
-use galenapath_policy::place::{Entry, Wanted, copies};
+use galenapath_policy::place::{PlacementRequest, QueueEntry, hedging};
 use galenapath_protocol::{BackendId, Micros, Verdict};
 use galenapath_routes::RouteKind;
 use http::StatusCode;
@@ -84,7 +84,7 @@
             Ok(in_flight) => in_flight,
             Err(NoServer::Rejected(refusal)) => {
                 add_shortage_step(call);
-                call.add_step(&format!("refused:predicted{}ms ", refusal.predicted.0 / 1_000));
+                call.add_step(&format!("refused:predicted{}ms ", refusal.predicted_wait.0 / 1_000));
                 let mut failure = failure(call, "no_room", StatusCode::BAD_GATEWAY);
                 failure.retry_after = failure.retry_after.map(|_| refusal.retry_after);
                 return fallback.ok_or(failure);
@@ -128,20 +128,20 @@
     // those may have improved since.
     let excluded: Vec<BackendId> =
         call.tried.borrow().iter().chain(&*call.unfit.borrow()).cloned().collect();
-    let entry = Entry {
+    let entry = QueueEntry {
         ticket: req.ticket,
         rank: req.route.rank,
         arrived: req.arrived,
         target: req.target_at,
         deadline: req.deadline,
-        is_picky: !excluded.is_empty(),
+        has_exclusions: !excluded.is_empty(),
     };
     let is_large = req.route.kind == RouteKind::Download;
     call.service.placement.borrow_mut().assume_work(req.route.target.into());
-    let wanted = Wanted { entry, tried: excluded, is_large };
+    let wanted = PlacementRequest { entry, tried: excluded, is_large };
     let mut result = call.service.place(&call.instance, wanted).await;
     if matches!(result, Err(NoServer::Unavailable)) && !call.unfit.take().is_empty() {
-        let wanted = Wanted { entry, tried: call.tried.borrow().clone(), is_large };
+        let wanted = PlacementRequest { entry, tried: call.tried.borrow().clone(), is_large };
         result = call.service.place(&call.instance, wanted).await;
     }
     call.waited.set(call.waited.get() + (call.instance.now() - began));
@@ -151,7 +151,7 @@
 /// Time until a server accepts requests again; `None` if that is unknown or a server accepts now.
 fn time_until_accepting(call: &Call) -> Option<Micros> {
     let placement = call.service.placement.borrow();
-    let wait = placement.takes_one_in(call.instance.now(), &[])?;
+    let wait = placement.time_until_accepting(call.instance.now(), &[])?;
     (wait > Micros::ZERO).then_some(wait)
 }
 
@@ -239,8 +239,8 @@
 /// hedge; `None` if there is to be no hedge.
 async fn wait_for_hedge(call: &Call, server: &BackendId) -> Option<InFlight> {
     let work = call.service.placement.borrow().work();
-    let early = copies::early_after(work, call.time_left_to_target());
-    let late = copies::late_after(work);
+    let early = hedging::early_after(work, call.time_left_to_target());
+    let late = hedging::late_after(work);
     let is_lost = call.service.wait_for_loss(server, early).await;
     let is_ample = call.service.retries.borrow_mut().is_ample(call.instance.now());
     if (is_lost || is_ample)
@@ -252,7 +252,7 @@
     if let Some(hedge) = place_hedge(call) {
         return Some(hedge);
     }
-    sleep(copies::silent_after(work) - late).await;
+    sleep(hedging::silent_after(work) - late).await;
     report_silence(call, server);
     place_hedge(call)
 }
@@ -274,12 +274,12 @@
 }
 
 fn silent_after(call: &Call) -> Micros {
-    copies::silent_after(call.service.placement.borrow().work())
+    hedging::silent_after(call.service.placement.borrow().work())
 }
 
 fn report_silence(call: &Call, server: &BackendId) {
     let now = call.instance.now();
-    call.service.placement.borrow_mut().failed(now, server, SILENCE_WEIGHT);
+    call.service.placement.borrow_mut().record_failure(now, server, SILENCE_WEIGHT);
     call.instance.share_failure(&call.service, server, SILENCE_WEIGHT);
     call.add_step("silent ");
 }
--- a/crates/galenapath-gateway/src/fitness.rs
+++ b/crates/galenapath-gateway/src/fitness.rs
@@ -45,7 +45,7 @@
 
 fn query_decision(call: &Call, server: &BackendId) -> QueryDecision {
     let (now, service) = (call.instance.now(), &call.service);
-    let observation = service.placement.borrow().seen(server);
+    let observation = service.placement.borrow().last_observation(server);
     let is_fresh = observation.is_some_and(|seen| now - seen.at <= MAX_TRUSTED_LOAD_AGE);
     // A query counts towards the rate limit of a server that states one, and few other instances
     // send requests to such a server.
--- a/crates/galenapath-gateway/src/in_flight.rs
+++ b/crates/galenapath-gateway/src/in_flight.rs
@@ -2,7 +2,7 @@
 
 use crate::instance::Instance;
 use crate::service::Service;
-use galenapath_policy::place::{Given, Sighting, Started};
+use galenapath_policy::place::{Assignment, LoadObservation, ServerSnapshot};
 use galenapath_protocol::BackendId;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,22 +13,26 @@
     instance: Rc<Instance>,
     pub(crate) server: BackendId,
     /// What was known of the server when it was selected.
-    pub(crate) snapshot: Started,
+    pub(crate) snapshot: ServerSnapshot,
     is_sent: Cell<bool>,
     /// The load that the server reported with its answer, if it is an update to share.
-    pub(crate) answer_load: Cell<Option<Sighting>>,
+    pub(crate) answer_load: Cell<Option<LoadObservation>>,
 }
 
 impl InFlight {
     /// Counts a request at `server`.
     pub(crate) fn start(service: &Rc<Service>, instance: &Rc<Instance>, server: BackendId) -> Self {
         let started = service.placement.borrow_mut().start(instance.now(), &server);
-        Self::assigned(service, instance, Given { server, started })
+        Self::assigned(service, instance, Assignment { server, snapshot: started })
     }
 
     /// Takes over a request that is already counted at its server.
-    pub(crate) fn assigned(service: &Rc<Service>, instance: &Rc<Instance>, given: Given) -> Self {
-        let Given { server, started: snapshot } = given;
+    pub(crate) fn assigned(
+        service: &Rc<Service>,
+        instance: &Rc<Instance>,
+        given: Assignment,
+    ) -> Self {
+        let Assignment { server, snapshot } = given;
         let (service, instance) = (Rc::clone(service), Rc::clone(instance));
         Self {
             service,
@@ -51,7 +55,7 @@
 
     fn count_sent(&self) {
         if !self.is_sent.replace(true) {
-            self.service.placement.borrow_mut().sent(&self.server);
+            self.service.placement.borrow_mut().mark_sent(&self.server);
         }
     }
 
@@ -59,7 +63,7 @@
     /// their requests to it as well.
     fn share_load(&self) {
         let placement = self.service.placement.borrow();
-        let Some(observation) = placement.seen(&self.server) else { return };
+        let Some(observation) = placement.last_observation(&self.server) else { return };
         let load = placement.load(&self.server);
         self.instance.share_load(&self.service, &self.server, observation.with_load(load));
     }
--- a/crates/galenapath-gateway/src/instance.rs
+++ b/crates/galenapath-gateway/src/instance.rs
@@ -11,8 +11,8 @@
 use galenapath_filings::{SuspectConfig, Suspects};
 use galenapath_membership::{BeatConfig, Beats, Member, MemberStatus, StoreHealth, Vitals};
 use galenapath_policy::dispatch::PeakLoad;
-use galenapath_policy::measure::{Crossings, QuestionTimes};
-use galenapath_policy::place::{Placement, spent};
+use galenapath_policy::measure::{CrossDomainSends, QueryTimes};
+use galenapath_policy::place::{Placement, time_spent};
 use galenapath_policy::{FailedRequests, LogLineBudget, LogLineKind};
 use galenapath_protocol::{DomainId, FastMap, Incarnation, Micros};
 use galenapath_routes::{Route, SplitTurn};
@@ -69,9 +69,9 @@
     pub(crate) in_progress: Cell<u32>,
     line_budget: Cell<LogLineBudget>,
     /// Durations of load queries to servers.
-    query_times: Cell<QuestionTimes>,
+    query_times: Cell<QueryTimes>,
     last_serving_at: Cell<Micros>,
-    cross_domain_sends: Cell<Crossings>,
+    cross_domain_sends: Cell<CrossDomainSends>,
     /// When this instance last refuted reports that it is silent.
     pub(crate) refuted_at: Cell<Micros>,
     /// Rate of requests from callers.
@@ -182,7 +182,7 @@
             store: self.store.get(),
             is_watching: self.is_watching.get(),
             serves_callers: self.now() - self.last_serving_at.get() < SERVING_HOLD,
-            crosses: self.cross_domain_sends.get().crosses(self.now()),
+            crosses: self.cross_domain_sends.get().is_cross_domain(self.now()),
             rate: self.rate.get().per_second(self.now()),
             capacity: self.capacity(),
             config_version: state.table().version(),
@@ -207,7 +207,7 @@
     /// failure domain.
     pub(crate) fn record_send(&self, is_cross_domain: bool) {
         self.cross_domain_sends
-            .set(self.cross_domain_sends.get().sent(self.now(), is_cross_domain));
+            .set(self.cross_domain_sends.get().with_send(self.now(), is_cross_domain));
     }
 
     /// Whether the budget allows a log line of this kind; counts the line as dropped if not.
@@ -223,12 +223,12 @@
 
     /// Time for which a request waits for the answer to its load query.
     pub(crate) fn query_timeout(&self) -> Micros {
-        self.query_times.get().patience()
+        self.query_times.get().timeout()
     }
 
     /// Records that a server answered a load query on an open connection after `took`.
     pub(crate) fn record_query_time(&self, took: Micros) {
-        self.query_times.set(self.query_times.get().with(took));
+        self.query_times.set(self.query_times.get().with_sample(took));
     }
 
     /// Records that the store answered this instance, or one whose heartbeat has arrived.
@@ -253,7 +253,7 @@
         self.metrics.leaving_servers.set(count(|placement, _| placement.leaving_count()));
         self.metrics.paused_servers.set(count(Placement::paused_count));
         for service in services.values() {
-            let age = seconds(service.placement.borrow().mean_age(now));
+            let age = seconds(service.placement.borrow().mean_observation_age(now));
             self.metrics.load_age.with_label_values(&[&service.name]).set(age);
         }
     }
@@ -301,7 +301,7 @@
             None => longest_timeouts.entry(route.name.clone()).or_insert(caller_timeout),
         };
         *longest = caller_timeout.max(*longest);
-        (arrived + target) - spent(*longest, caller_timeout)
+        (arrived + target) - time_spent(*longest, caller_timeout)
     }
 
     /// Resets the traffic splits and caller timeouts of all routes after a configuration change.
--- a/crates/galenapath-gateway/src/load_query.rs
+++ b/crates/galenapath-gateway/src/load_query.rs
@@ -10,7 +10,7 @@
     response_framing,
 };
 use galenapath_policy::LogLineKind;
-use galenapath_policy::place::Sighting;
+use galenapath_policy::place::LoadObservation;
 use galenapath_protocol::{BackendId, Micros};
 use http::header::{HOST, HeaderMap, HeaderValue};
 use http::{Method, StatusCode};
@@ -27,7 +27,7 @@
 /// A backend server's answer to a load query.
 pub(crate) struct LoadQueryAnswer {
     /// The server's load, if it reports one.
-    pub(crate) observation: Option<Sighting>,
+    pub(crate) observation: Option<LoadObservation>,
     /// Whether a different server has the address.
     pub(crate) is_other: bool,
     /// The connection, if it can be reused.
@@ -60,7 +60,7 @@
     let mut body = BodyState::new(framing);
     while connection.read_body(&mut body).await?.is_some() {}
     instance.usage.count(Flow::Query, service.is_local(id), connection.take_carried());
-    service.placement.borrow_mut().reached(id);
+    service.placement.borrow_mut().mark_reachable(id);
     let is_other = is_other(instance, service, id, &head);
     if !is_other {
         apply_warm_up(instance, service, id, &head);
@@ -118,7 +118,7 @@
     id: &BackendId,
     head: &ResponseHead,
     at: Micros,
-) -> Option<Sighting> {
+) -> Option<LoadObservation> {
     let observation = read_load(instance, head, at)?;
     if service.observe_load(instance, id, observation) {
         instance.share_load(service, id, observation);
@@ -133,13 +133,13 @@
     service: &Service,
     id: &BackendId,
     head: &ResponseHead,
-) -> Option<Sighting> {
-    service.placement.borrow_mut().reached(id);
+) -> Option<LoadObservation> {
+    service.placement.borrow_mut().mark_reachable(id);
     let observation = read_load(instance, head, instance.now())?;
     service.observe_load(instance, id, observation).then_some(observation)
 }
 
-fn read_load(instance: &Instance, head: &ResponseHead, at: Micros) -> Option<Sighting> {
+fn read_load(instance: &Instance, head: &ResponseHead, at: Micros) -> Option<LoadObservation> {
     let text = head.headers.get(&instance.names.load)?.to_str().ok()?;
-    Some(Sighting { at, report: instance.dialect.parse_load(text)? })
+    Some(LoadObservation { at, report: instance.dialect.parse_load(text)? })
 }
--- a/crates/galenapath-gateway/src/notices.rs
+++ b/crates/galenapath-gateway/src/notices.rs
@@ -23,7 +23,7 @@
 
 /// The notice sent to other instances about a rate limit.
 pub(crate) fn limit_note(now: Micros, id: &BackendId, limit: RateLimit) -> LimitNote {
-    let RateLimit { per_second, said_at } = limit;
+    let RateLimit { per_second, stated_at: said_at } = limit;
     LimitNote { server: id.hash(), per_second, age: now - said_at }
 }
 
@@ -36,7 +36,7 @@
         rate_limit: RateLimit,
         source: &'static str,
     ) -> bool {
-        if !service.placement.borrow_mut().hear_limit(self.now(), id, rate_limit) {
+        if !service.placement.borrow_mut().update_limit(self.now(), id, rate_limit) {
             return false;
         }
         probe::assign_warming_and_limits(self);
@@ -75,7 +75,7 @@
             service.refresh(self);
             for note in &notices.limits {
                 let Some(id) = service.by_hash(note.server) else { continue };
-                let limit = RateLimit { per_second: note.per_second, said_at: now - note.age };
+                let limit = RateLimit { per_second: note.per_second, stated_at: now - note.age };
                 self.apply_rate_limit(&service, &id, limit, "peer");
             }
             for id in notices.leaving.iter().filter_map(|hash| service.by_hash(*hash)) {
@@ -92,7 +92,7 @@
 
     /// Sends the notices in force to the instances that serve callers.
     fn repeat_notices(&self) {
-        let notices = self.notices(Placement::limits_told_again);
+        let notices = self.notices(Placement::limits_to_repeat);
         if notices.is_empty() {
             return;
         }
@@ -108,7 +108,8 @@
     /// same failure domain gets all known limits, so that it need not learn them from the servers.
     pub(crate) fn send_known_notices(&self, address: SocketAddr) {
         let is_local = self.membership.borrow().is_home(&address);
-        let limits = if is_local { Placement::limits_told } else { Placement::limits_told_again };
+        let limits =
+            if is_local { Placement::reportable_limits } else { Placement::limits_to_repeat };
         self.send_notices(&self.notices(limits), &[address]);
     }
 
--- a/crates/galenapath-gateway/src/probe.rs
+++ b/crates/galenapath-gateway/src/probe.rs
@@ -9,7 +9,9 @@
 use crate::service::Service;
 use galenapath_http::{Connection, HttpError};
 use galenapath_membership::{Beats, Peer};
-use galenapath_policy::measure::{LimitShare, Prober, limit_share, prober, warmer};
+use galenapath_policy::measure::{
+    LimitShare, Prober, limit_share, probing_instance, warming_instance,
+};
 use galenapath_protocol::{BackendId, FastMap, Micros};
 use monoio::net::TcpStream;
 use std::net::SocketAddr;
@@ -125,15 +127,15 @@
     for service in instance.services.borrow().values() {
         let domain = |id: &BackendId| service.domain(id).filter(|_| may_send);
         let is_warmed_here = |id: &BackendId| {
-            domain(id).is_some_and(|domain| warmer(&probing, &domain, id) == Some(own))
+            domain(id).is_some_and(|domain| warming_instance(&probing, &domain, id) == Some(own))
         };
         let share = |id: &BackendId, per_second: f64| {
             let share = |domain| limit_share(&probing, &domain, id, own, per_second);
             domain(id).map_or(LimitShare::NONE, share)
         };
         let mut placement = service.placement.borrow_mut();
-        placement.share_warming(now, is_warmed_here);
-        placement.share_limits(now, share);
+        placement.assign_warming(now, is_warmed_here);
+        placement.assign_limit_shares(now, share);
     }
 }
 
@@ -146,13 +148,13 @@
         .map(|peer| Prober {
             incarnation: peer.member.incarnation,
             domain: &peer.member.domain,
-            crosses: peer.vitals.crosses,
+            is_cross_domain: peer.vitals.crosses,
         })
         .collect();
     probing.push(Prober {
         incarnation: instance.incarnation,
         domain: membership.domain(),
-        crosses: instance.status().crosses,
+        is_cross_domain: instance.status().crosses,
     });
     probing
 }
@@ -165,7 +167,8 @@
     for service in instance.services.borrow().values() {
         service.refresh(instance);
         for server in service.servers() {
-            if prober(&probing, &server.domain, &server.id) == Some(instance.incarnation) {
+            if probing_instance(&probing, &server.domain, &server.id) == Some(instance.incarnation)
+            {
                 assigned.insert(server.id, (Rc::clone(service), server.address));
             }
         }
@@ -177,7 +180,7 @@
     let mut targets = targets.borrow_mut();
     let mut due = Vec::new();
     for target in targets.values_mut().filter(|target| target.is_due(now)) {
-        if !target.service.placement.borrow_mut().take_question(now, &target.id) {
+        if !target.service.placement.borrow_mut().try_take_query(now, &target.id) {
             continue;
         }
         target.is_running = true;
@@ -190,7 +193,7 @@
     fn is_due(&self, now: Micros) -> bool {
         !self.is_running
             && self.not_before <= now
-            && self.service.placement.borrow().look_at(now, &self.id) <= now
+            && self.service.placement.borrow().next_probe_at(now, &self.id) <= now
     }
 }
 
--- a/crates/galenapath-gateway/src/server_answer.rs
+++ b/crates/galenapath-gateway/src/server_answer.rs
@@ -98,7 +98,7 @@
             }
             (None, _) => return,
         };
-        let limit = RateLimit { per_second, said_at };
+        let limit = RateLimit { per_second, stated_at: said_at };
         if instance.apply_rate_limit(self.service, self.id, limit, self.kind.as_str()) {
             let limits = vec![limit_note(instance.now(), self.id, limit)];
             instance.broadcast_notices(&Notices { limits, ..Notices::default() });
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -5,9 +5,10 @@
 use crate::pool::{PooledConnection, Pools};
 use crate::waiting::Waiter;
 use galenapath_http::Connection;
-use galenapath_policy::measure::{AskBudget, AskShares};
+use galenapath_policy::measure::{QueryShares, TokenBucket};
 use galenapath_policy::place::{
-    Line, PlaceConfig, PlacedServer, Placement, QueueConfig, Sighting, Started, WaitQueue, WarmUp,
+    LoadObservation, PlaceConfig, PlacedServer, Placement, PlacementQueue, QueueConfig,
+    ServerSnapshot, WaitQueue, WarmUp,
 };
 use galenapath_policy::{RetryBudget, RetryConfig, SharedRetryBudget};
 use galenapath_protocol::{BackendId, DomainId, FastMap, Micros, hash64};
@@ -47,7 +48,7 @@
     /// Whether its failure domain is evacuated, so that it gets no requests.
     is_withdrawn: bool,
     /// This instance's share of the budget for load queries to the server.
-    queries: AskBudget,
+    queries: TokenBucket,
 }
 
 /// Address and failure domain of a server.
@@ -72,7 +73,7 @@
     /// Servers by the short form of their identities.
     by_short_id: RefCell<FastMap<u32, BackendId>>,
     /// Requests waiting for a server.
-    pub(crate) queue: RefCell<Line>,
+    pub(crate) queue: RefCell<PlacementQueue>,
     /// Invariant: holds the request numbers in `queue` whose tasks wait.
     pub(crate) waiters: RefCell<FastMap<u64, Waiter>>,
     /// Load queries per second to one server allowed to the requests of all instances together.
@@ -84,7 +85,7 @@
     /// When a request last needed a server.
     used_at: Cell<Micros>,
     /// This instance's shares of the query budget, as applied to `listed`.
-    shares: Cell<Option<AskShares>>,
+    shares: Cell<Option<QueryShares>>,
 }
 
 impl Service {
@@ -104,7 +105,7 @@
             loss_watchers: LossWatchers::default(),
             listed: RefCell::default(),
             by_short_id: RefCell::default(),
-            queue: RefCell::new(Line::new(WaitQueue::new(QueueConfig::default()))),
+            queue: RefCell::new(PlacementQueue::new(WaitQueue::new(QueueConfig::default()))),
             waiters: RefCell::default(),
             query_rate: Cell::new(instance.settings().probes_per_second * QUERY_SHARE),
             no_load_until: Cell::default(),
@@ -162,13 +163,13 @@
             list.push(PlacedServer {
                 id: run.clone(),
                 slots: record.slots,
-                is_home: is_local,
+                is_local,
                 is_leaving: record.state == ServerState::Leaving || state.leaving.contains(&run),
                 is_withdrawn,
                 cold_for: if has_turned_cold { record.cold_for.into() } else { Micros::ZERO },
             });
             let queries = before.map_or_else(
-                || AskBudget::new(now, self.query_share_rate(shares, is_local)),
+                || TokenBucket::new(now, self.query_share_rate(shares, is_local)),
                 |server| server.queries,
             );
             let record = Arc::clone(record);
@@ -185,7 +186,7 @@
 
     /// Marks a server that answers no probes as unreachable and notifies its requests.
     pub(crate) fn mark_unreachable(&self, now: Micros, id: &BackendId) {
-        self.placement.borrow_mut().not_reached(now, id);
+        self.placement.borrow_mut().mark_unreachable(now, id);
         self.loss_watchers.notify(id);
     }
 
@@ -269,7 +270,12 @@
 
     /// Whether a request that was assigned to a server in the state `snapshot` may still be sent
     /// there.
-    pub(crate) fn may_send(&self, instance: &Instance, id: &BackendId, snapshot: Started) -> bool {
+    pub(crate) fn may_send(
+        &self,
+        instance: &Instance,
+        id: &BackendId,
+        snapshot: ServerSnapshot,
+    ) -> bool {
         self.refresh(instance);
         self.placement.borrow().may_send(instance.now(), id, snapshot)
     }
@@ -277,7 +283,7 @@
     /// Counts another send of the same request to a server; false if the server cannot accept it.
     pub(crate) fn try_count_resend(&self, instance: &Instance, id: &BackendId) -> bool {
         self.refresh(instance);
-        self.placement.borrow_mut().send_again(instance.now(), id)
+        self.placement.borrow_mut().try_count_resend(instance.now(), id)
     }
 
     /// Whether a server states a rate limit.
@@ -290,9 +296,9 @@
         &self,
         instance: &Instance,
         id: &BackendId,
-        observation: Sighting,
+        observation: LoadObservation,
     ) -> bool {
-        let is_update = self.placement.borrow_mut().see(id, observation);
+        let is_update = self.placement.borrow_mut().observe(id, observation);
         if is_update {
             self.poll(instance);
         }
@@ -322,7 +328,7 @@
     }
 
     /// Updates this instance's shares of the query budget.
-    pub(crate) fn update_probe_share(&self, now: Micros, shares: AskShares) {
+    pub(crate) fn update_probe_share(&self, now: Micros, shares: QueryShares) {
         if self.shares.replace(Some(shares)) == Some(shares) {
             return;
         }
@@ -331,8 +337,8 @@
         }
     }
 
-    fn query_share_rate(&self, shares: AskShares, is_local: bool) -> f64 {
-        self.query_rate.get() * if is_local { shares.home } else { shares.away }
+    fn query_share_rate(&self, shares: QueryShares, is_local: bool) -> f64 {
+        self.query_rate.get() * if is_local { shares.local } else { shares.remote }
     }
 
     /// Takes a load query out of this instance's share of a server's budget, if any is left.
@@ -344,7 +350,7 @@
 /// The warm-up parameters of a service.
 fn warm_up(spec: &ServiceSpec) -> Option<WarmUp> {
     let warm_up = spec.warm_up?;
-    Some(WarmUp { lasts: warm_up.lasts.into(), per_second: warm_up.per_second })
+    Some(WarmUp { duration: warm_up.lasts.into(), per_second: warm_up.per_second })
 }
 
 /// The retry budget of an instance that serves `share` of all requests.
--- a/crates/galenapath-gateway/src/serving.rs
+++ b/crates/galenapath-gateway/src/serving.rs
@@ -3,7 +3,7 @@
 
 use crate::instance::Instance;
 use galenapath_membership::Peer;
-use galenapath_policy::measure::{AskShares, ServedRates};
+use galenapath_policy::measure::{QueryShares, ServedRates};
 use galenapath_protocol::{DomainId, FastSet};
 
 /// Requests a second that one core handles without queueing. A request with its load query takes
@@ -51,7 +51,7 @@
     }
 
     /// The shares of the load queries to servers that this instance may send.
-    pub(crate) fn query_shares(&self) -> AskShares {
+    pub(crate) fn query_shares(&self) -> QueryShares {
         let domain = self.settings().domain.clone();
         let status = self.status();
         let membership = self.membership.borrow();
@@ -59,9 +59,9 @@
         let mut domains: FastSet<&DomainId> = others().map(|peer| &peer.member.domain).collect();
         domains.insert(&domain);
         let in_domain = others().filter(|peer| peer.member.domain == domain);
-        AskShares::by_rates(&ServedRates {
+        QueryShares::from_rates(&ServedRates {
             own: status.serves_callers.then_some(status.rate),
-            others_at_home: serving(in_domain).map(|peer| peer.vitals.rate).sum(),
+            others_in_domain: serving(in_domain).map(|peer| peer.vitals.rate).sum(),
             domains: u32::try_from(domains.len()).unwrap_or(u32::MAX),
         })
     }
--- a/crates/galenapath-gateway/src/sharing.rs
+++ b/crates/galenapath-gateway/src/sharing.rs
@@ -11,7 +11,7 @@
 use crate::service::Service;
 use crate::usage::Flow;
 use galenapath_membership::Peer;
-use galenapath_policy::place::Sighting;
+use galenapath_policy::place::LoadObservation;
 use galenapath_protocol::{BackendId, DomainId, FastMap, Micros};
 use std::future::poll_fn;
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 /// Updates on the servers of one failure domain.
 #[derive(Default)]
 struct DomainUpdates {
-    loads: FastMap<BackendId, Sighting>,
+    loads: FastMap<BackendId, LoadObservation>,
     failures: FastMap<BackendId, f32>,
     /// Servers that are no longer cold.
     warm: Vec<BackendId>,
@@ -39,7 +39,7 @@
 #[derive(Default)]
 pub(crate) struct Outbox {
     by_domain: FastMap<DomainId, DomainUpdates>,
-    last_sent: FastMap<BackendId, Sighting>,
+    last_sent: FastMap<BackendId, LoadObservation>,
     crashes: Vec<CrashNote>,
     /// Servers that have turned cold, and until when they stay cold.
     turned_cold: FastMap<BackendId, Micros>,
@@ -59,8 +59,8 @@
         }
     }
 
-    fn add_load(&mut self, domain: DomainId, id: &BackendId, sighting: Sighting) {
-        let is_update = self.last_sent.get(id).is_none_or(|sent| sighting.is_news_after(sent));
+    fn add_load(&mut self, domain: DomainId, id: &BackendId, sighting: LoadObservation) {
+        let is_update = self.last_sent.get(id).is_none_or(|sent| sighting.is_update_to(sent));
         if is_update {
             self.by_domain.entry(domain).or_default().loads.insert(id.clone(), sighting);
             self.last_sent.insert(id.clone(), sighting);
@@ -93,7 +93,7 @@
 impl DomainUpdates {
     /// Converts the updates to a message sent at `now`.
     fn into_message(self, now: Micros) -> Loads {
-        let load = |(id, seen): (BackendId, Sighting)| LoadNote {
+        let load = |(id, seen): (BackendId, LoadObservation)| LoadNote {
             server: id.short(),
             age: now - seen.at,
             report: seen.report,
@@ -111,7 +111,7 @@
 
 impl Instance {
     /// Queues a load observation of a server for the other instances.
-    pub(crate) fn share_load(&self, service: &Service, id: &BackendId, sighting: Sighting) {
+    pub(crate) fn share_load(&self, service: &Service, id: &BackendId, sighting: LoadObservation) {
         let Some(domain) = service.domain(id) else { return };
         self.outbox.borrow_mut().add_load(domain, id, sighting);
     }
@@ -149,13 +149,13 @@
             }
             for note in &loads.loads {
                 if let Some(id) = service.by_short_id(note.server) {
-                    let sighting = Sighting { at: now - note.age, report: note.report };
+                    let sighting = LoadObservation { at: now - note.age, report: note.report };
                     service.observe_load(self, &id, sighting);
                 }
             }
             for note in &loads.failures {
                 if let Some(id) = service.by_short_id(note.server) {
-                    service.placement.borrow_mut().failed(now, &id, note.weight);
+                    service.placement.borrow_mut().record_failure(now, &id, note.weight);
                 }
             }
             for note in &loads.warmth {
--- a/crates/galenapath-gateway/src/waiting.rs
+++ b/crates/galenapath-gateway/src/waiting.rs
@@ -4,7 +4,10 @@
 use crate::instance::Instance;
 use crate::service::Service;
 use futures::channel::oneshot;
-use galenapath_policy::place::{Ask, Choice, Given, Moved, Placed, Refusal, Wanted};
+use galenapath_policy::place::{
+    Assignment, Choice, PlacementOutcome, PlacementRequest, QueueOutcome, QueueRejection,
+    RequestCriteria,
+};
 use galenapath_protocol::{BackendId, Micros};
 use std::rc::Rc;
 
@@ -12,13 +15,13 @@
 const POLL_INTERVAL: Micros = Micros::from_millis(10);
 
 /// Notifies a waiting request of its assignment or rejection.
-pub(crate) type Waiter = oneshot::Sender<Result<Given, Refusal>>;
+pub(crate) type Waiter = oneshot::Sender<Result<Assignment, QueueRejection>>;
 
 /// Why a request got no server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum NoServer {
     /// All servers are full and the wait would be too long.
-    Rejected(Refusal),
+    Rejected(QueueRejection),
     /// No server can accept the request.
     Unavailable,
 }
@@ -32,7 +35,7 @@
     pub(crate) async fn place(
         self: &Rc<Self>,
         instance: &Rc<Instance>,
-        wanted: Wanted,
+        wanted: PlacementRequest,
     ) -> Result<InFlight, NoServer> {
         self.prepare(instance);
         let (now, ticket) = (instance.now(), wanted.entry.ticket);
@@ -41,10 +44,12 @@
             queue.place(now, &mut placement, wanted, instance.load_share())
         };
         match placed {
-            Placed::At(assignment) => Ok(InFlight::assigned(self, instance, assignment)),
-            Placed::Waits => self.wait(instance, ticket).await,
-            Placed::Refused(rejection) => Err(NoServer::Rejected(rejection)),
-            Placed::Nowhere => Err(NoServer::Unavailable),
+            PlacementOutcome::Assigned(assignment) => {
+                Ok(InFlight::assigned(self, instance, assignment))
+            }
+            PlacementOutcome::Queued => self.wait(instance, ticket).await,
+            PlacementOutcome::Rejected(rejection) => Err(NoServer::Rejected(rejection)),
+            PlacementOutcome::NoServer => Err(NoServer::Unavailable),
         }
     }
 
@@ -57,14 +62,14 @@
     ) -> Option<InFlight> {
         self.prepare(instance);
         let now = instance.now();
-        let ask = Ask { tried, is_large, left: Micros::ZERO };
-        if !self.placement.borrow().has_good(now, &ask) {
+        let ask = RequestCriteria { tried, is_large, time_left: Micros::ZERO };
+        if !self.placement.borrow().has_good_server(now, &ask) {
             return None;
         }
         let choice = self.placement.borrow_mut().choose(now, &ask);
         match choice {
             Choice::Server(id) => Some(InFlight::start(self, instance, id)),
-            Choice::Wait | Choice::Nowhere => None,
+            Choice::Wait | Choice::NoServer => None,
         }
     }
 
@@ -92,7 +97,7 @@
     /// Assigns or rejects the waiting requests that are due.
     pub(crate) fn poll(&self, instance: &Instance) {
         let due = self.queue.borrow_mut().poll(instance.now(), &mut self.placement.borrow_mut());
-        for Moved { ticket, result } in due {
+        for QueueOutcome { ticket, result } in due {
             let waiter = self.waiters.borrow_mut().remove(&ticket);
             let sent = waiter.map_or(Err(result.clone()), |tx| tx.send(result));
             // The request was cancelled before it could be notified.
@@ -109,7 +114,7 @@
     service: &'a Rc<Service>,
     instance: &'a Rc<Instance>,
     ticket: u64,
-    rx: oneshot::Receiver<Result<Given, Refusal>>,
+    rx: oneshot::Receiver<Result<Assignment, QueueRejection>>,
 }
 
 impl Drop for QueuedRequest<'_> {
