--- a/crates/galenapath-dev/examples/slopes/in_process.rs
+++ b/crates/galenapath-dev/examples/slopes/in_process.rs
@@ -5,7 +5,7 @@
     ChangeId, Class, ClassKind, Config, Mark, Share, Target, Version, decode_snapshot,
     encode_snapshot,
 };
-use galenapath_membership::{Member, MemberStatus, Members, MembershipConfig};
+use galenapath_membership::{GossipConfig, GossipMembership, Member, MemberStatus};
 use galenapath_protocol::{DomainId, Incarnation, InstanceId, Micros, hash64};
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -67,7 +67,7 @@
 fn measure_members(size: usize) -> Row {
     let list: Vec<Member> = (0..size).map(member).collect();
     let mut now = Micros::from_secs(1);
-    let mut members = Members::new(MembershipConfig::default(), now, list[0].clone());
+    let mut members = GossipMembership::new(GossipConfig::default(), now, list[0].clone());
     members.learn(now, &list);
     let began = Instant::now();
     for n in 0..ROUNDS {
--- a/crates/galenapath-entry/src/control/plane.rs
+++ b/crates/galenapath-entry/src/control/plane.rs
@@ -8,7 +8,7 @@
 use galenapath_config::Replica;
 use galenapath_filings::Suspects;
 use galenapath_membership::{
-    LeavingMarks, Member, MemberStatus, Members, MembershipConfig, TrackedList,
+    GossipConfig, GossipMembership, LeavingMarks, Member, MemberStatus, TrackedList,
 };
 use galenapath_peers::{PeerCall, PeerRequest};
 use galenapath_platform::{ConsulPlatform, ListedInstance};
@@ -51,7 +51,7 @@
     /// How the store was used.
     pub(super) store_use: StoreUse,
     /// Entry instances.
-    pub(super) members: RefCell<Members>,
+    pub(super) members: RefCell<GossipMembership>,
     /// Backend servers that are leaving.
     pub(super) marks: RefCell<LeavingMarks>,
     /// Requests suspected of crashing backend servers, as told by the data thread and peers.
@@ -75,7 +75,7 @@
             beat: 0,
             status: MemberStatus::Live,
         };
-        let members = Members::new(MembershipConfig::default(), shared.clock.now(), own);
+        let members = GossipMembership::new(GossipConfig::default(), shared.clock.now(), own);
         let platform = ConsulPlatform::new(settings.platform.address, settings.platform.timeout);
         let plane = Rc::new(Self {
             shared,
--- a/crates/galenapath-gateway/src/addresses.rs
+++ b/crates/galenapath-gateway/src/addresses.rs
@@ -1,7 +1,7 @@
 //! The answer to the question where to connect.
 
 use crate::instance::Instance;
-use galenapath_membership::{Member, Peer, Vitals};
+use galenapath_membership::{InstanceStatus, Member, Peer};
 use galenapath_policy::dispatch::{AnswerConfig, Reachable, addresses_for};
 use galenapath_protocol::{DomainId, Micros};
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
 /// Addresses for a caller in failure domain `domain`.
 pub(crate) fn answer(instance: &Instance, domain: &str) -> Vec<SocketAddr> {
     let beats = instance.membership.borrow();
-    let (own, vitals) = (instance.member(), instance.status());
+    let (own, status) = (instance.member(), instance.status());
     let seeds = &instance.settings().listen.seeds;
-    let reachable = |member, vitals| reachable(member, vitals, seeds);
+    let reachable = |member, status| reachable(member, status, seeds);
     let usable = beats.peers().filter(|peer| peer.is_usable());
     let mut all: Vec<Reachable<'_>> =
-        usable.map(|peer| reachable(&peer.member, &peer.vitals)).collect();
+        usable.map(|peer| reachable(&peer.member, &peer.status)).collect();
     if instance.is_ready() {
-        all.push(reachable(&own, &vitals));
+        all.push(reachable(&own, &status));
     }
     leave_out_evacuated(instance, &mut all);
     let load = recent_load(instance, domain);
@@ -38,13 +38,17 @@
     }
 }
 
-fn reachable<'a>(member: &'a Member, vitals: &Vitals, seeds: &[SocketAddr]) -> Reachable<'a> {
+fn reachable<'a>(
+    member: &'a Member,
+    status: &InstanceStatus,
+    seeds: &[SocketAddr],
+) -> Reachable<'a> {
     Reachable {
         name: &member.id.0,
         domain: &member.domain.0,
         address: member.callers,
-        rate: vitals.rate,
-        capacity: vitals.capacity,
+        rate: status.rate,
+        capacity: status.capacity,
         is_seed: seeds.iter().any(|seed| seed.ip() == member.peers.ip()),
     }
 }
@@ -57,7 +61,7 @@
     }
     let beats = instance.membership.borrow();
     let is_there = |peer: &&Peer| peer.is_up() && &*peer.member.domain.0 == domain;
-    let others: u32 = beats.peers().filter(is_there).map(|peer| peer.vitals.rate).sum();
+    let others: u32 = beats.peers().filter(is_there).map(|peer| peer.status.rate).sum();
     let is_own = &*instance.settings().domain.0 == domain;
     let own = if is_own { instance.status().rate } else { 0 };
     let (now, key) = (instance.now(), DomainId(domain.into()));
--- a/crates/galenapath-gateway/src/attempt.rs
+++ b/crates/galenapath-gateway/src/attempt.rs
@@ -122,7 +122,7 @@
         Err(HttpError::Closed | HttpError::Io(_))
             // It may have arrived all the same, so that it counts as a retry.
             if is_kept
-                && call.req.route.kind.may_repeat()
+                && call.req.route.kind.is_idempotent()
                 && service.send_again(&call.instance, server)
                 && take_retry(call) =>
         {
--- a/crates/galenapath-gateway/src/exchange.rs
+++ b/crates/galenapath-gateway/src/exchange.rs
@@ -100,7 +100,7 @@
         let server = in_flight.server.clone();
         call.tried.borrow_mut().push(server.clone());
         let result = match call.req.route.kind {
-            RouteKind::OnceOnly => attempt_once(call, in_flight).await,
+            RouteKind::NonIdempotent => attempt_once(call, in_flight).await,
             RouteKind::Idempotent | RouteKind::Download => attempt_copied(call, in_flight).await,
         };
         let fault = match result {
@@ -164,16 +164,16 @@
 
 /// Whether another server is asked although this one has answered.
 fn is_worth_another(call: &Call, reply: &Reply) -> bool {
-    call.req.route.kind.may_repeat() && reply.status.is_server_error() && reply.rest.is_none()
+    call.req.route.kind.is_idempotent() && reply.status.is_server_error() && reply.rest.is_none()
 }
 
 /// Whether the request may be sent once more after `fault`, or after an answer without one.
 fn may_go_on(call: &Call, fault: Option<Fault>) -> bool {
     let is_allowed = match fault.map(Fault::verdict) {
         Some(Verdict::NotRun) => {
-            call.verdict() == Verdict::NotRun || call.req.route.kind.may_repeat()
+            call.verdict() == Verdict::NotRun || call.req.route.kind.is_idempotent()
         }
-        _ => call.req.route.kind.may_repeat(),
+        _ => call.req.route.kind.is_idempotent(),
     };
     if !is_allowed || call.left() < LEAST_LEFT {
         return false;
--- a/crates/galenapath-gateway/src/fitness.rs
+++ b/crates/galenapath-gateway/src/fitness.rs
@@ -70,7 +70,7 @@
     }
     let now = call.instance.now();
     let kept = service.take_connection(now, server).await;
-    let is_once = call.req.route.kind == RouteKind::OnceOnly;
+    let is_once = call.req.route.kind == RouteKind::NonIdempotent;
     let is_old = is_once && kept.as_ref().is_some_and(|kept| kept.idle > FRESH_IDLE);
     let may_ask_more = || {
         service.tells_load(now) && !service.is_limited(server) && service.take_probe(now, server)
--- a/crates/galenapath-gateway/src/fleet/convert.rs
+++ b/crates/galenapath-gateway/src/fleet/convert.rs
@@ -9,7 +9,7 @@
     CrashNote, Datagram, FailureNote, LimitNote, LoadNote, Loads, Notices, WarmthNote,
 };
 use galenapath_filings::Fingerprint;
-use galenapath_membership::{Beat, Member, MemberStatus, StoreHealth, Vitals};
+use galenapath_membership::{Heartbeat, InstanceStatus, Member, MemberStatus, StoreHealth};
 use galenapath_protocol::{BackendId, DomainId, Incarnation, InstanceId, LoadReport, Micros};
 use galenapath_routes::{Evacuation, ListedServer, Removal, ServerRecord, ServerState, StartedAt};
 use std::time::Duration;
@@ -22,7 +22,7 @@
 const SERVES_CALLERS: u8 = 32;
 const CROSSES: u8 = 64;
 
-fn flags(status: &Vitals) -> u8 {
+fn flags(status: &InstanceStatus) -> u8 {
     let bit = |is_set: bool, bit: u8| if is_set { bit } else { 0 };
     let store = match status.store {
         StoreHealth::Untried => 0,
@@ -37,22 +37,22 @@
         | bit(status.crosses, CROSSES)
 }
 
-impl From<&Beat> for BeatWire {
-    fn from(heartbeat: &Beat) -> Self {
+impl From<&Heartbeat> for BeatWire {
+    fn from(heartbeat: &Heartbeat) -> Self {
         Self {
             from: heartbeat.from.0,
-            flags: flags(&heartbeat.vitals),
-            rate: heartbeat.vitals.rate,
-            capacity: heartbeat.vitals.capacity,
-            config_version: heartbeat.vitals.config_version,
-            position: heartbeat.vitals.position,
+            flags: flags(&heartbeat.status),
+            rate: heartbeat.status.rate,
+            capacity: heartbeat.status.capacity,
+            config_version: heartbeat.status.config_version,
+            position: heartbeat.status.position,
             accused: heartbeat.accused.iter().map(|id| id.0).collect(),
             digest: heartbeat.digest,
         }
     }
 }
 
-impl From<BeatWire> for Beat {
+impl From<BeatWire> for Heartbeat {
     fn from(wire: BeatWire) -> Self {
         let has = |bit| wire.flags & bit != 0;
         let store = match (has(STORE_ANSWERS), has(STORE_FAILS)) {
@@ -60,7 +60,7 @@
             (false, true) => StoreHealth::Failing,
             (false, false) => StoreHealth::Untried,
         };
-        let vitals = Vitals {
+        let status = InstanceStatus {
             is_ready: has(READY),
             is_leaving: has(LEAVING),
             store,
@@ -73,7 +73,7 @@
             position: wire.position,
         };
         let accused = wire.accused.into_iter().map(Incarnation).collect();
-        Self { from: Incarnation(wire.from), vitals, accused, digest: wire.digest }
+        Self { from: Incarnation(wire.from), status, accused, digest: wire.digest }
     }
 }
 
@@ -260,7 +260,7 @@
 
 impl From<ListedServer> for ListedServerWire {
     fn from(listed: ListedServer) -> Self {
-        let ListedServer { revision, record, lapses_in } = listed;
+        let ListedServer { revision, record, expires_in } = listed;
         Self {
             id: record.id.0.to_string(),
             started: record.started.0,
@@ -271,7 +271,7 @@
             leaving: record.state == ServerState::Leaving,
             cold_ms: millis(record.cold_for.into()),
             revision,
-            lapses_ms: lapses_in.map_or(0, |left| millis(left).max(1)),
+            lapses_ms: expires_in.map_or(0, |left| millis(left).max(1)),
         }
     }
 }
@@ -295,7 +295,7 @@
                 state,
                 cold_for: Duration::from_millis(u64::from(wire.cold_ms)),
             },
-            lapses_in: (lapses > 0).then_some(Micros::from_millis(lapses)),
+            expires_in: (lapses > 0).then_some(Micros::from_millis(lapses)),
         })
     }
 }
--- a/crates/galenapath-gateway/src/fleet/joining.rs
+++ b/crates/galenapath-gateway/src/fleet/joining.rs
@@ -4,7 +4,7 @@
 use super::tasks::send_heartbeat;
 use crate::instance::{Instance, sleep};
 use crate::usage::Flow;
-use galenapath_membership::{Learned, Member};
+use galenapath_membership::{LearnOutcome, Member};
 use galenapath_policy::LineKind;
 use galenapath_protocol::Micros;
 use std::net::SocketAddr;
@@ -70,19 +70,19 @@
         let incarnation = member.incarnation;
         let learned = learn(instance, member);
         if address == from {
-            instance.membership.borrow_mut().spoke(instance.now(), incarnation);
+            instance.membership.borrow_mut().record_contact(instance.now(), incarnation);
         }
         match (learned, address == from) {
             // The heartbeat gives a new instance the store's health and more; one from its own
             // failure domain is enough.
-            (Learned::News, true) if is_local || !is_introduction => {
+            (LearnOutcome::New, true) if is_local || !is_introduction => {
                 send_heartbeat(instance, &[address]);
             }
             // The sender considered this instance gone, or lost the first answer.
-            (Learned::Known | Learned::Doubted, true) if is_introduction => {
+            (LearnOutcome::Known | LearnOutcome::KnownDown, true) if is_introduction => {
                 send_heartbeat(instance, &[address]);
             }
-            (Learned::News | Learned::Doubted, false) => introduce(instance, address),
+            (LearnOutcome::New | LearnOutcome::KnownDown, false) => introduce(instance, address),
             _ => {}
         }
     }
@@ -95,13 +95,13 @@
 }
 
 /// Adds or updates a member.
-pub(super) fn learn(instance: &Instance, member: Member) -> Learned {
+pub(super) fn learn(instance: &Instance, member: Member) -> LearnOutcome {
     let now = instance.now();
     let joined = (member.id.0.clone(), member.incarnation);
     let learned = instance.membership.borrow_mut().learn(now, member);
     // The budget keeps hundreds of instances that start together from writing a line each on all of
     // them.
-    if learned == Learned::News && instance.may_log(LineKind::Peer) {
+    if learned == LearnOutcome::New && instance.may_log(LineKind::Peer) {
         log::info!(peer = joined.0, incarnation:% = joined.1; "instance joined");
     }
     learned
--- a/crates/galenapath-gateway/src/fleet/message.rs
+++ b/crates/galenapath-gateway/src/fleet/message.rs
@@ -2,7 +2,7 @@
 
 use super::generated::DatagramWire;
 use galenapath_filings::Fingerprint;
-use galenapath_membership::{Beat, Member};
+use galenapath_membership::{Heartbeat, Member};
 use galenapath_protocol::{Incarnation, LoadReport, Micros};
 
 /// Version of the message format; datagrams of another version are ignored.
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Datagram {
     /// A heartbeat.
-    Heartbeat(Beat),
+    Heartbeat(Heartbeat),
     /// An instance introduces itself and requests the known members.
     Hello(Member),
     /// Members known to the sender.
--- a/crates/galenapath-gateway/src/fleet/pull.rs
+++ b/crates/galenapath-gateway/src/fleet/pull.rs
@@ -21,7 +21,7 @@
 use crate::compression::{self, CompressedConfig};
 use crate::instance::{Instance, sleep};
 use crate::usage::Flow;
-use galenapath_membership::{Peer, Vitals};
+use galenapath_membership::{InstanceStatus, Peer};
 use galenapath_protocol::Micros;
 use galenapath_routes::{ListedServer, ServerChanges};
 use monoio::io::{AsyncReadRentExt, AsyncWriteRentExt};
@@ -85,7 +85,7 @@
     }
     let instance = Rc::clone(instance);
     monoio::spawn(async move {
-        if !instance.membership.borrow().is_home(&notifier) {
+        if !instance.membership.borrow().is_local(&notifier) {
             sleep(domain_wait(&instance)).await;
         }
         let mut from = pick_peer_ahead(&instance);
@@ -124,7 +124,7 @@
     let own = instance.status();
     let domain = &instance.settings().domain;
     let membership = instance.membership.borrow();
-    let ahead = membership.peers().filter(|peer| peer.is_up() && is_ahead(&peer.vitals, &own));
+    let ahead = membership.peers().filter(|peer| peer.is_up() && is_ahead(&peer.status, &own));
     let (local, remote): (Vec<&Peer>, Vec<&Peer>) =
         ahead.partition(|peer| peer.member.domain == *domain);
     let ahead = if local.is_empty() { remote } else { local };
@@ -132,14 +132,14 @@
 }
 
 /// Whether an instance has a newer configuration or server list than this one.
-pub(super) fn is_ahead(theirs: &Vitals, own: &Vitals) -> bool {
+pub(super) fn is_ahead(theirs: &InstanceStatus, own: &InstanceStatus) -> bool {
     theirs.config_version > own.config_version || theirs.position > own.position
 }
 
 async fn pull(instance: &Instance, from: SocketAddr) -> Result<Pulled> {
     exchange(instance, from, false).await?;
     let own = instance.status().config_version;
-    let is_newer = |peer: &Peer| peer.member.peers == from && peer.vitals.config_version > own;
+    let is_newer = |peer: &Peer| peer.member.peers == from && peer.status.config_version > own;
     let wants_config = instance.membership.borrow().peers().any(is_newer);
     if wants_config { exchange(instance, from, true).await } else { Ok(Pulled::Applied) }
 }
@@ -153,7 +153,7 @@
     let mut io = TcpStream::connect_addr(from).await?;
     let sent = write(&mut io, &request).await?;
     let (state, received): (StateWire, usize) = read(&mut io).await?;
-    let is_local = instance.membership.borrow().is_home(&from);
+    let is_local = instance.membership.borrow().is_local(&from);
     instance.usage.count(Flow::State, is_local, (sent + received) as u64);
     if state.is_busy {
         return Ok(Pulled::Busy);
--- a/crates/galenapath-gateway/src/fleet/tasks.rs
+++ b/crates/galenapath-gateway/src/fleet/tasks.rs
@@ -5,7 +5,9 @@
 use super::pull;
 use crate::instance::{Instance, sleep, sleep_to_next};
 use crate::usage::Flow;
-use galenapath_membership::{Beat, Belief, Heard, StoreHealth, Vitals};
+use galenapath_membership::{
+    Heartbeat, HeartbeatOutcome, InstanceStatus, ReachabilityChange, StoreHealth,
+};
 use galenapath_policy::LineKind;
 use galenapath_protocol::Micros;
 use monoio::net::udp::UdpSocket;
@@ -34,7 +36,7 @@
 
 /// Sends heartbeats and detects silent instances for as long as this instance runs.
 pub(crate) async fn run(instance: Rc<Instance>) {
-    let mut last_sent = Vitals::default();
+    let mut last_sent = InstanceStatus::default();
     let mut announcements = SilenceAnnouncements::default();
     loop {
         sleep_to_next(&instance, TICK_PERIOD).await;
@@ -53,7 +55,7 @@
         match audience {
             Audience::All => broadcast_heartbeat(&instance),
             Audience::Serving => {
-                let to = instance.membership.borrow().home_and_serving();
+                let to = instance.membership.borrow().local_and_serving_addresses();
                 send_heartbeat(&instance, &to);
             }
             Audience::Targets => {
@@ -68,7 +70,7 @@
 
 /// Changes found by other instances are logged by those as well, so they are subject to the line
 /// budget here.
-fn log_belief(instance: &Instance, change: &Belief) {
+fn log_belief(instance: &Instance, change: &ReachabilityChange) {
     if !change.is_own && !instance.may_log(LineKind::Peer) {
         return;
     }
@@ -115,7 +117,7 @@
 }
 
 /// Selects the recipients that need a status change at once.
-fn audience(last_sent: &Vitals, now: &Vitals) -> Audience {
+fn audience(last_sent: &InstanceStatus, now: &InstanceStatus) -> Audience {
     let is_for_all = last_sent.is_ready != now.is_ready
         || last_sent.is_leaving != now.is_leaving
         || last_sent.store != now.store
@@ -158,7 +160,8 @@
         let membership = instance.membership.borrow();
         (membership.accused(), membership.digest())
     };
-    let heartbeat = Beat { from: instance.incarnation, vitals: instance.status(), accused, digest };
+    let heartbeat =
+        Heartbeat { from: instance.incarnation, status: instance.status(), accused, digest };
     let datagram = encode(&Datagram::Heartbeat(heartbeat));
     to.iter().for_each(|address| instance.send(*address, &datagram, Flow::Heartbeat));
 }
@@ -199,7 +202,7 @@
         Datagram::Hello(member) => {
             let incarnation = member.incarnation;
             learn(instance, member);
-            instance.membership.borrow_mut().spoke(instance.now(), incarnation);
+            instance.membership.borrow_mut().record_contact(instance.now(), incarnation);
             send_members(instance, from);
             // A new instance fetches the state from an instance whose heartbeat shows that it has
             // one.
@@ -215,25 +218,25 @@
     }
 }
 
-fn handle_heartbeat(instance: &Rc<Instance>, heartbeat: &Beat, from: SocketAddr) {
+fn handle_heartbeat(instance: &Rc<Instance>, heartbeat: &Heartbeat, from: SocketAddr) {
     let was_ready = instance.membership.borrow().is_ready(heartbeat.from);
     let outcome = instance.membership.borrow_mut().hear(instance.now(), heartbeat);
     if !was_ready && instance.membership.borrow().is_ready(heartbeat.from) {
         instance.tell_newcomer(from);
     }
-    if heartbeat.vitals.store == StoreHealth::Answering {
+    if heartbeat.status.store == StoreHealth::Answering {
         instance.record_store_answer();
     }
     match outcome {
-        Heard::Known => {}
-        Heard::Stranger => request_members(instance, &[from]),
-        Heard::Accused => refute_silence(instance),
-        Heard::Differs => {
+        HeartbeatOutcome::Known => {}
+        HeartbeatOutcome::UnknownSender => request_members(instance, &[from]),
+        HeartbeatOutcome::AccusesUs => refute_silence(instance),
+        HeartbeatOutcome::ViewDiffers => {
             log::info!(from:% = from; "membership differs; requesting members");
             request_members(instance, &[from]);
         }
     }
-    if pull::is_ahead(&heartbeat.vitals, &instance.status()) {
+    if pull::is_ahead(&heartbeat.status, &instance.status()) {
         pull::start(instance, from);
     }
 }
@@ -246,6 +249,6 @@
     }
     instance.refuted_at.set(now);
     log::info!("reported as silent by another instance; sending a heartbeat to all");
-    let everybody = instance.membership.borrow().everybody();
-    send_heartbeat(instance, &everybody);
+    let all_addresses = instance.membership.borrow().all_addresses();
+    send_heartbeat(instance, &all_addresses);
 }
--- a/crates/galenapath-gateway/src/instance.rs
+++ b/crates/galenapath-gateway/src/instance.rs
@@ -9,13 +9,15 @@
 use crate::state::State;
 use crate::usage::{Flow, Usage};
 use galenapath_filings::{SuspectConfig, Suspects};
-use galenapath_membership::{BeatConfig, Beats, Member, MemberStatus, StoreHealth, Vitals};
+use galenapath_membership::{
+    HeartbeatConfig, HeartbeatMembership, InstanceStatus, Member, MemberStatus, StoreHealth,
+};
 use galenapath_policy::dispatch::RecentLoad;
 use galenapath_policy::measure::{Crossings, QuestionTimes};
 use galenapath_policy::place::{Placement, spent};
 use galenapath_policy::{FailedRequests, LineBudget, LineKind};
 use galenapath_protocol::{DomainId, FastMap, Incarnation, Micros};
-use galenapath_routes::{Route, SplitTurn};
+use galenapath_routes::{Route, WeightedRoundRobin};
 use galenapath_settings::GatewaySettings;
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, UdpSocket};
@@ -48,10 +50,10 @@
     /// Configuration and backend servers.
     pub(crate) state: RefCell<State>,
     /// Other instances.
-    pub(crate) membership: RefCell<Beats>,
+    pub(crate) membership: RefCell<HeartbeatMembership>,
     /// Services by name, from the configuration.
     pub(crate) services: RefCell<Services>,
-    splits: RefCell<FastMap<String, SplitTurn>>,
+    splits: RefCell<FastMap<String, WeightedRoundRobin>>,
     /// Longest timeout stated by callers, by route.
     longest_timeouts: RefCell<FastMap<String, Micros>>,
     /// Requests suspected of crashing backend servers.
@@ -102,8 +104,8 @@
             clock,
             metrics,
             state: RefCell::default(),
-            membership: RefCell::new(Beats::new(
-                BeatConfig::default(),
+            membership: RefCell::new(HeartbeatMembership::new(
+                HeartbeatConfig::default(),
                 incarnation,
                 settings.domain.clone(),
                 clock.now(),
@@ -174,9 +176,9 @@
     }
 
     /// The status that this instance reports to the others.
-    pub(crate) fn status(&self) -> Vitals {
+    pub(crate) fn status(&self) -> InstanceStatus {
         let state = self.state.borrow();
-        Vitals {
+        InstanceStatus {
             is_ready: self.is_ready(),
             is_leaving: self.stage.get() >= Stage::Leaving,
             store: self.store.get(),
@@ -275,7 +277,7 @@
         let mut splits = self.splits.borrow_mut();
         let turn = splits
             .entry(route.name.clone())
-            .or_insert_with(|| SplitTurn::new(&route.parts, self.incarnation.0));
+            .or_insert_with(|| WeightedRoundRobin::new(&route.parts, self.incarnation.0));
         &route.parts[turn.next(&route.parts)].service
     }
 
@@ -322,7 +324,7 @@
 
     /// Sends a datagram. A send error is only logged: the protocol tolerates lost datagrams.
     pub(crate) fn send(&self, to: SocketAddr, datagram: &[u8], flow: Flow) {
-        let is_local = self.membership.borrow().is_home(&to);
+        let is_local = self.membership.borrow().is_local(&to);
         self.usage.count_datagram(flow, is_local, datagram.len());
         if let Err(e) = self.udp.send_to(datagram, to) {
             log::debug!(to:% = to, error:% = e; "failed to send a datagram");
--- a/crates/galenapath-gateway/src/notices.rs
+++ b/crates/galenapath-gateway/src/notices.rs
@@ -95,7 +95,7 @@
         }
         let to: Vec<SocketAddr> = {
             let beats = self.membership.borrow();
-            let serving = beats.peers().filter(|p| p.is_up() && p.vitals.serves_callers);
+            let serving = beats.peers().filter(|p| p.is_up() && p.status.serves_callers);
             serving.map(|peer| peer.member.peers).collect()
         };
         self.send_notices(&notices, &to);
@@ -104,7 +104,7 @@
     /// Tells an instance that has just become ready what servers have said: all that is known, where it is of the
     /// own failure domain, so that it need not be told by the servers.
     pub(crate) fn tell_newcomer(&self, newcomer: SocketAddr) {
-        let is_home = self.membership.borrow().is_home(&newcomer);
+        let is_home = self.membership.borrow().is_local(&newcomer);
         let limits = if is_home { Placement::limits_told } else { Placement::limits_told_again };
         self.send_notices(&self.notices(limits), &[newcomer]);
     }
--- a/crates/galenapath-gateway/src/probe.rs
+++ b/crates/galenapath-gateway/src/probe.rs
@@ -8,7 +8,7 @@
 use crate::instance::{Instance, Stage, sleep_to_next};
 use crate::service::Service;
 use galenapath_http::{Connection, HttpError};
-use galenapath_membership::{Beats, Peer};
+use galenapath_membership::{HeartbeatMembership, Peer};
 use galenapath_policy::measure::{LimitShare, Prober, limit_share, prober, warmer};
 use galenapath_protocol::{BackendId, FastMap, Micros};
 use monoio::net::TcpStream;
@@ -108,7 +108,7 @@
 
 fn is_any_peer_serving(instance: &Instance) -> bool {
     let membership = instance.membership.borrow();
-    membership.peers().any(|peer| peer.is_usable() && peer.vitals.serves_callers)
+    membership.peers().any(|peer| peer.is_usable() && peer.status.serves_callers)
 }
 
 /// Updates which cold servers this instance warms up, and its shares of the rate limits that
@@ -120,7 +120,7 @@
     // still send to them. A stopping instance has handed its share to the others, if there are any.
     let is_replaced =
         instance.stage.get() >= Stage::Leaving && membership.peers().any(Peer::is_usable);
-    let may_send = may_probe(instance) && !membership.is_doubtful() && !is_replaced;
+    let may_send = may_probe(instance) && !membership.is_isolated() && !is_replaced;
     let probing = probing_instances(instance, &membership);
     for service in instance.services.borrow().values() {
         let domain = |id: &BackendId| service.domain(id).filter(|_| may_send);
@@ -138,15 +138,18 @@
 }
 
 /// The instances that probe, including this one.
-fn probing_instances<'a>(instance: &Instance, membership: &'a Beats) -> Vec<Prober<'a>> {
+fn probing_instances<'a>(
+    instance: &Instance,
+    membership: &'a HeartbeatMembership,
+) -> Vec<Prober<'a>> {
     let is_any_serving = instance.status().serves_callers || is_any_peer_serving(instance);
     let others = membership.peers().filter(|peer| peer.is_usable());
-    let others = others.filter(|peer| !is_any_serving || peer.vitals.serves_callers);
+    let others = others.filter(|peer| !is_any_serving || peer.status.serves_callers);
     let mut probing: Vec<Prober<'_>> = others
         .map(|peer| Prober {
             incarnation: peer.member.incarnation,
             domain: &peer.member.domain,
-            crosses: peer.vitals.crosses,
+            crosses: peer.status.crosses,
         })
         .collect();
     probing.push(Prober {
--- a/crates/galenapath-gateway/src/serving.rs
+++ b/crates/galenapath-gateway/src/serving.rs
@@ -47,7 +47,7 @@
         let domain = &self.settings().domain;
         let membership = self.membership.borrow();
         let in_domain = membership.peers().filter(|p| p.is_up() && p.member.domain == *domain);
-        in_domain.map(|peer| peer.vitals.rate).max().unwrap_or(0)
+        in_domain.map(|peer| peer.status.rate).max().unwrap_or(0)
     }
 
     /// The shares of the load queries to servers that this instance may send.
@@ -61,7 +61,7 @@
         let in_domain = others().filter(|peer| peer.member.domain == domain);
         AskShares::by_rates(&ServedRates {
             own: status.serves_callers.then_some(status.rate),
-            others_at_home: serving(in_domain).map(|peer| peer.vitals.rate).sum(),
+            others_at_home: serving(in_domain).map(|peer| peer.status.rate).sum(),
             domains: u32::try_from(domains.len()).unwrap_or(u32::MAX),
         })
     }
@@ -71,7 +71,7 @@
     pub(crate) fn load_share(&self) -> f32 {
         let membership = self.membership.borrow();
         let others = serving(membership.peers().filter(|peer| peer.is_up()));
-        let others: u32 = others.map(|peer| peer.vitals.rate).sum();
+        let others: u32 = others.map(|peer| peer.status.rate).sum();
         let own = self.rate.get().per_second(self.now()).max(1);
         own as f32 / own.saturating_add(others) as f32
     }
@@ -79,5 +79,5 @@
 
 /// Filters the peers that serve callers.
 fn serving<'a>(peers: impl Iterator<Item = &'a Peer>) -> impl Iterator<Item = &'a Peer> {
-    peers.filter(|peer| peer.vitals.serves_callers)
+    peers.filter(|peer| peer.status.serves_callers)
 }
--- a/crates/galenapath-gateway/src/sharing.rs
+++ b/crates/galenapath-gateway/src/sharing.rs
@@ -233,11 +233,11 @@
     /// The instances that receive load observations and failures: those that serve callers.
     fn recipients(&self) -> Vec<Recipient> {
         let membership = self.membership.borrow();
-        let serving = membership.peers().filter(|p| p.is_up() && p.vitals.serves_callers);
+        let serving = membership.peers().filter(|p| p.is_up() && p.status.serves_callers);
         let recipient = |peer: &Peer| Recipient {
             address: peer.member.peers,
             domain: peer.member.domain.clone(),
-            is_cross_domain: peer.vitals.crosses,
+            is_cross_domain: peer.status.crosses,
         };
         serving.map(recipient).collect()
     }
--- a/crates/galenapath-gateway/src/state.rs
+++ b/crates/galenapath-gateway/src/state.rs
@@ -7,8 +7,8 @@
 use galenapath_policy::LineKind;
 use galenapath_protocol::{BackendId, Micros};
 use galenapath_routes::{
-    Change, Directory, Evacuations, ListNews, ListedServer, Removal, RouteTable, ServerChanges,
-    ServerState,
+    Change, Directory, Evacuations, ListedServer, Removal, RouteTable, ServerChanges, ServerState,
+    VisibleChange,
 };
 use std::rc::Rc;
 
@@ -224,7 +224,7 @@
         for Item { key, value, revision } in items {
             let (id, revision) = (self.server_id(key).unwrap_or(key), revision.0);
             match self.dialect.server(id, value) {
-                Ok(record) => list.push(ListedServer { revision, record, lapses_in: None }),
+                Ok(record) => list.push(ListedServer { revision, record, expires_in: None }),
                 Err(e) => {
                     self.report_unreadable_entry(id, revision, &e);
                     unreadable.push(Removal { revision, id: BackendId(id.into()) });
@@ -275,7 +275,7 @@
         let now = self.now();
         let (changes, position) = {
             let mut state = self.state.borrow_mut();
-            let changes = state.directory.take_news();
+            let changes = state.directory.take_visible_changes();
             changes.iter().filter_map(leaving_run).for_each(|run| {
                 state.leaving.add(now, &run);
             });
@@ -291,18 +291,18 @@
 }
 
 /// The process run that a list entry reports as leaving.
-fn leaving_run(change: &ListNews) -> Option<BackendId> {
+fn leaving_run(change: &VisibleChange) -> Option<BackendId> {
     match change {
-        ListNews::Listed { record, .. } if record.state == ServerState::Leaving => {
+        VisibleChange::Listed { record, .. } if record.state == ServerState::Leaving => {
             Some(record.run_id())
         }
-        ListNews::Listed { .. } | ListNews::Removed { .. } => None,
+        VisibleChange::Listed { .. } | VisibleChange::Removed { .. } => None,
     }
 }
 
-fn log_change(now: Micros, change: &ListNews, source: &str) {
+fn log_change(now: Micros, change: &VisibleChange, source: &str) {
     match change {
-        ListNews::Listed { revision, record } => {
+        VisibleChange::Listed { revision, record } => {
             let (run, service) = (record.run_id(), &*record.service);
             let state = format!("{:?}", record.state);
             let cold_ms = record.cold_for.as_millis() as u64;
@@ -311,7 +311,7 @@
                 "server listed"
             );
         }
-        ListNews::Removed { revision, id, gone_at } => {
+        VisibleChange::Removed { revision, id, gone_at } => {
             let hold_ms = gone_at.map_or(0.0, |at| (at - now).as_millis_f64());
             log::info!(server:% = id, revision, hold_ms, source; "server removed");
         }
--- a/crates/galenapath-gateway/src/watch.rs
+++ b/crates/galenapath-gateway/src/watch.rs
@@ -4,7 +4,7 @@
 use crate::instance::{Instance, sleep, sleep_to_next};
 use bytes::Bytes;
 use futures::future::{Either, select};
-use galenapath_membership::{StoreHealth, WatchRole, reads_first, watch_role};
+use galenapath_membership::{StoreHealth, WatchRole, reads_store_at_start, watch_role};
 use galenapath_platform::{Freshness, Item, KeyStore, PlatformError, StoreIndex, Watched};
 use galenapath_protocol::Micros;
 use std::pin::pin;
@@ -70,7 +70,7 @@
     let cores = watcher.instance.settings().cores.clamp(MIN_CORES, 1.0);
     let spread = FIRST_READ_SPREAD.0 as f64 / (cores * cores);
     sleep(Micros((rand::random::<f64>() * spread) as u64)).await;
-    if watcher.reads_first() {
+    if watcher.reads_store_at_start() {
         watcher.load(Freshness::MayBeStale).await;
     }
     sleep(STARTUP_LISTEN_TIME).await;
@@ -78,7 +78,7 @@
         match watcher.role() {
             WatchRole::Watch => watcher.watch().await,
             WatchRole::Retry => watcher.retry().await,
-            WatchRole::Rest => watcher.stand_by().await,
+            WatchRole::Standby => watcher.stand_by().await,
         }
     }
 }
@@ -98,11 +98,11 @@
 
 impl<S: KeyStore> Watcher<S> {
     /// Whether the instance reads the store itself at its start.
-    fn reads_first(&self) -> bool {
+    fn reads_store_at_start(&self) -> bool {
         let instance = &self.instance;
         let is_known = instance.state.borrow().is_known();
         let capacity = instance.status().capacity;
-        !is_known && reads_first(capacity, instance.membership.borrow().peers())
+        !is_known && reads_store_at_start(capacity, instance.membership.borrow().peers())
     }
 
     fn role(&self) -> WatchRole {
@@ -285,7 +285,7 @@
     fn is_no_peer_answered(&self) -> bool {
         let membership = self.instance.membership.borrow();
         let mut up = membership.peers().filter(|peer| peer.is_up());
-        !up.any(|peer| peer.vitals.store == StoreHealth::Answering)
+        !up.any(|peer| peer.status.store == StoreHealth::Answering)
     }
 }
 
--- a/crates/galenapath-membership/src/members.rs
+++ b/crates/galenapath-membership/src/gossip_membership.rs
@@ -11,8 +11,8 @@
 //! Members that are gone are probed now and then, or regions that lost each other would not find
 //! each other again: both sides hold the other for gone, and nobody would speak against it.
 
-use crate::rumors::Rumors;
-use crate::{Member, MemberStatus, MembershipConfig};
+use crate::gossip_queue::GossipQueue;
+use crate::{GossipConfig, Member, MemberStatus};
 use galenapath_protocol::{FastMap, Incarnation, Micros, hash64};
 use std::net::SocketAddr;
 
@@ -29,7 +29,7 @@
 const GONE_PROBE_EVERY: u64 = 8;
 
 /// Times that news from the platform's list is told.
-const LISTED_TELLINGS: u32 = 1;
+const LISTED_SENDS: u32 = 1;
 
 #[derive(Clone, Debug)]
 struct Entry {
@@ -37,28 +37,28 @@
     /// When the status last changed; of a gone member, when news last called it anything else.
     since: Micros,
     /// Whether the last probe of a live member was missed and a second one is to follow.
-    is_missed: bool,
+    has_missed_probe: bool,
     /// When a leaving member first missed a probe since it last answered.
-    silent: Option<Micros>,
+    silent_since: Option<Micros>,
 }
 
 impl Entry {
     const fn new(now: Micros, member: Member) -> Self {
-        Self { member, since: now, is_missed: false, silent: None }
+        Self { member, since: now, has_missed_probe: false, silent_since: None }
     }
 
     /// Keeps a tombstone for as long as anyone speaks of the member as present.
-    fn note_old_news(&mut self, now: Micros) {
+    fn extend_tombstone(&mut self, now: Micros) {
         if self.member.status == MemberStatus::Gone {
             self.since = now;
         }
     }
 
     /// Since when the member would have had to answer and did not.
-    fn wanting_since(&self) -> Option<Micros> {
+    fn unresponsive_since(&self) -> Option<Micros> {
         match self.member.status {
             MemberStatus::Suspect => Some(self.since),
-            MemberStatus::Leaving => self.silent,
+            MemberStatus::Leaving => self.silent_since,
             MemberStatus::Live | MemberStatus::Gone => None,
         }
     }
@@ -69,34 +69,34 @@
 /// Invariants: the own incarnation is in the table and never `Gone` or `Suspect`; an entry is only
 /// replaced by newer news (see `Member::is_newer_than`).
 #[derive(Clone, Debug)]
-pub struct Members {
-    cfg: MembershipConfig,
+pub struct GossipMembership {
+    cfg: GossipConfig,
     own: Incarnation,
     entries: FastMap<Incarnation, Entry>,
-    rumors: Rumors,
+    gossip_queue: GossipQueue,
     /// Peers still to be probed in this round, last first.
     round: Vec<Incarnation>,
     round_number: u64,
     /// Members that missed a probe and are probed again before they count as suspects.
-    second_looks: Vec<Incarnation>,
+    second_probes: Vec<Incarnation>,
     /// Probes sent so far.
     probes: u64,
     next_probe: Micros,
     version: u64,
 }
 
-impl Members {
+impl GossipMembership {
     /// A table that knows only the instance itself.
-    pub fn new(cfg: MembershipConfig, now: Micros, own: Member) -> Self {
+    pub fn new(cfg: GossipConfig, now: Micros, own: Member) -> Self {
         let incarnation = own.incarnation;
         let mut members = Self {
             cfg,
             own: incarnation,
             entries: FastMap::default(),
-            rumors: Rumors::default(),
+            gossip_queue: GossipQueue::default(),
             round: Vec::new(),
             round_number: 0,
-            second_looks: Vec::new(),
+            second_probes: Vec::new(),
             probes: 0,
             next_probe: now,
             version: 0,
@@ -150,7 +150,7 @@
     /// News to put into the next message to the peer `to`. The own entry goes first, then what is
     /// thought of the peer itself, so that it can speak against a suspicion.
     pub fn news(&mut self, to: Incarnation) -> Vec<Member> {
-        let mut about = self.rumors.take(self.cfg.rumors_per_message);
+        let mut about = self.gossip_queue.take(self.cfg.max_updates_per_message);
         about.retain(|&incarnation| incarnation != self.own && incarnation != to);
         about.splice(0..0, [self.own, to]);
         about.iter().filter_map(|&incarnation| self.find(incarnation).cloned()).collect()
@@ -171,7 +171,7 @@
             let before = self.version;
             self.merge_one(now, member);
             if self.version != before {
-                self.rumors.push(member.incarnation, LISTED_TELLINGS);
+                self.gossip_queue.push(member.incarnation, LISTED_SENDS);
             }
         }
     }
@@ -181,8 +181,8 @@
         // Only the member itself may end a suspicion that others share, by raising its beat; its
         // answer carries its own entry, which `merge` takes in.
         let Some(entry) = self.entries.get_mut(&incarnation) else { return };
-        entry.is_missed = false;
-        entry.silent = None;
+        entry.has_missed_probe = false;
+        entry.silent_since = None;
         if entry.member.status == MemberStatus::Suspect {
             entry.since = now;
         }
@@ -193,14 +193,14 @@
     pub fn probe_failed(&mut self, now: Micros, incarnation: Incarnation) {
         let Some(entry) = self.entries.get_mut(&incarnation) else { return };
         match entry.member.status {
-            MemberStatus::Live if entry.is_missed => {
+            MemberStatus::Live if entry.has_missed_probe => {
                 self.set_status(now, incarnation, MemberStatus::Suspect);
             }
             MemberStatus::Live => {
-                entry.is_missed = true;
-                self.second_looks.push(incarnation);
+                entry.has_missed_probe = true;
+                self.second_probes.push(incarnation);
             }
-            MemberStatus::Leaving => entry.silent = entry.silent.or(Some(now)),
+            MemberStatus::Leaving => entry.silent_since = entry.silent_since.or(Some(now)),
             MemberStatus::Suspect | MemberStatus::Gone => {}
         }
     }
@@ -214,7 +214,7 @@
 
     /// The instance itself begins to leave.
     pub fn leave(&mut self, now: Micros) {
-        self.speak(now, MemberStatus::Leaving, 0);
+        self.update_own(now, MemberStatus::Leaving, 0);
     }
 
     fn merge_one(&mut self, now: Micros, news: &Member) {
@@ -225,7 +225,7 @@
         match self.entries.get_mut(&news.incarnation) {
             Some(known) if news.is_newer_than(&known.member) => self.store(now, news.clone()),
             // Someone still holds the old news, so the tombstone is still needed.
-            Some(known) if news.status != MemberStatus::Gone => known.note_old_news(now),
+            Some(known) if news.status != MemberStatus::Gone => known.extend_tombstone(now),
             Some(_) => {}
             // News of a death that nobody here knew of as a life is not worth keeping. Kept, every
             // newcomer would hold tombstones anew and tell those who had dropped them.
@@ -239,11 +239,11 @@
         let Some(own) = self.own() else { return };
         if news.is_newer_than(own) {
             let status = own.status;
-            self.speak(now, status, news.beat);
+            self.update_own(now, status, news.beat);
         }
     }
 
-    fn speak(&mut self, now: Micros, status: MemberStatus, above: u64) {
+    fn update_own(&mut self, now: Micros, status: MemberStatus, above: u64) {
         let Some(own) = self.own() else { return };
         let mut member = own.clone();
         member.beat = member.beat.max(above) + 1;
@@ -267,7 +267,7 @@
             self.add_to_round(incarnation);
         }
         self.version += 1;
-        self.rumors.push(incarnation, self.cfg.rumor_factor * self.doublings());
+        self.gossip_queue.push(incarnation, self.cfg.sends_per_doubling * self.doublings());
     }
 
     /// How often the number of members was doubled from one, rounded up.
@@ -276,17 +276,19 @@
     }
 
     fn end_suspicions(&mut self, now: Micros) {
-        let suspicion = self.cfg.suspicion_after(self.doublings());
+        let suspicion = self.cfg.suspicion_timeout(self.doublings());
         let expired: Vec<Incarnation> = self
             .entries
             .values()
-            .filter(|entry| entry.wanting_since().is_some_and(|since| now >= since + suspicion))
+            .filter(|entry| {
+                entry.unresponsive_since().is_some_and(|since| now >= since + suspicion)
+            })
             .map(|entry| entry.member.incarnation)
             .collect();
         for incarnation in expired {
             self.set_status(now, incarnation, MemberStatus::Gone);
         }
-        let keep = self.cfg.keep_gone;
+        let keep = self.cfg.tombstone_ttl;
         self.entries.retain(|_, entry| {
             entry.member.status != MemberStatus::Gone || now < entry.since + keep
         });
@@ -294,17 +296,17 @@
 
     fn next_to_probe(&mut self) -> Option<Incarnation> {
         self.probes += 1;
-        while let Some(incarnation) = self.second_looks.pop() {
-            if self.entries.get(&incarnation).is_some_and(|entry| entry.is_missed) {
+        while let Some(incarnation) = self.second_probes.pop() {
+            if self.entries.get(&incarnation).is_some_and(|entry| entry.has_missed_probe) {
                 return Some(incarnation);
             }
         }
         let is_for_gone = self.probes.is_multiple_of(GONE_PROBE_EVERY);
-        let gone = if is_for_gone { self.some_gone() } else { None };
+        let gone = if is_for_gone { self.pick_gone() } else { None };
         gone.or_else(|| self.next_in_round())
     }
 
-    fn some_gone(&self) -> Option<Incarnation> {
+    fn pick_gone(&self) -> Option<Incarnation> {
         let seed = self.own.0 ^ self.probes;
         let gone = self.entries.values().filter(|e| e.member.status == MemberStatus::Gone);
         gone.map(|e| e.member.incarnation).min_by_key(|i| hash64(seed, &i.0.to_le_bytes()))
--- a/crates/galenapath-membership/src/rumors.rs
+++ b/crates/galenapath-membership/src/gossip_queue.rs
@@ -6,34 +6,34 @@
 ///
 /// Invariant: an incarnation occurs at most once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Rumors {
-    pending: Vec<Rumor>,
+pub(crate) struct GossipQueue {
+    pending: Vec<QueuedUpdate>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Rumor {
+struct QueuedUpdate {
     about: Incarnation,
     left: u32,
 }
 
-impl Rumors {
+impl GossipQueue {
     /// Queues news about a member, to be sent `times` times; replaces older news of it.
     pub(crate) fn push(&mut self, about: Incarnation, times: u32) {
-        self.pending.retain(|rumor| rumor.about != about);
-        self.pending.insert(0, Rumor { about, left: times });
+        self.pending.retain(|update| update.about != about);
+        self.pending.insert(0, QueuedUpdate { about, left: times });
     }
 
     /// Takes up to `most` members to tell of, those told least often first, of those the newest.
-    pub(crate) fn take(&mut self, most: usize) -> Vec<Incarnation> {
-        self.pending.sort_by_key(|rumor| std::cmp::Reverse(rumor.left));
-        let told = self.pending.iter_mut().take(most);
-        let about = told
-            .map(|rumor| {
-                rumor.left -= 1;
-                rumor.about
+    pub(crate) fn take(&mut self, max: usize) -> Vec<Incarnation> {
+        self.pending.sort_by_key(|update| std::cmp::Reverse(update.left));
+        let sent = self.pending.iter_mut().take(max);
+        let about = sent
+            .map(|update| {
+                update.left -= 1;
+                update.about
             })
             .collect();
-        self.pending.retain(|rumor| rumor.left > 0);
+        self.pending.retain(|update| update.left > 0);
         about
     }
 }
--- a/crates/galenapath-membership/src/beats.rs
+++ b/crates/galenapath-membership/src/heartbeat_membership.rs
@@ -16,14 +16,17 @@
 //! waits for heartbeats that go to the new one instead, and accuses the living. So a heartbeat carries a
 //! digest of the instances that its sender believes in, and who finds another one for long asks.
 
-use crate::{Beat, BeatConfig, Belief, Heard, Learned, Member, Peer, ring};
+use crate::{
+    Heartbeat, HeartbeatConfig, HeartbeatOutcome, LearnOutcome, Member, Peer, ReachabilityChange,
+    ring,
+};
 use galenapath_protocol::{DomainId, FastMap, FastSet, Incarnation, Micros};
 use std::net::SocketAddr;
 
 /// The other instances as one of them knows them.
 #[derive(Debug)]
-pub struct Beats {
-    cfg: BeatConfig,
+pub struct HeartbeatMembership {
+    cfg: HeartbeatConfig,
     own: Incarnation,
     domain: DomainId,
     peers: FastMap<Incarnation, Peer>,
@@ -35,21 +38,21 @@
     targets: FastSet<Incarnation>,
     /// Whether `monitored` and `targets` are those of the present `peers`. They are worked out once for
     /// all changes between two looks: hundreds of instances join within a moment.
-    is_rearranged: bool,
+    are_targets_current: bool,
     /// Addresses of those of the own failure domain.
-    home: FastSet<SocketAddr>,
+    local_addresses: FastSet<SocketAddr>,
     ticked_at: Micros,
     /// When a heartbeat last told of the same instances as this one believes in.
     agreed_at: Micros,
     /// When another instance was last asked because they differ.
-    asked_at: Micros,
+    synced_at: Micros,
     /// Whether most of those who should send heartbeats are silent, so that the fault is here.
-    is_doubtful: bool,
+    is_isolated: bool,
 }
 
-impl Beats {
+impl HeartbeatMembership {
     /// Nobody is known yet.
-    pub fn new(cfg: BeatConfig, own: Incarnation, domain: DomainId, now: Micros) -> Self {
+    pub fn new(cfg: HeartbeatConfig, own: Incarnation, domain: DomainId, now: Micros) -> Self {
         Self {
             cfg,
             own,
@@ -57,12 +60,12 @@
             peers: FastMap::default(),
             monitored: FastSet::default(),
             targets: FastSet::default(),
-            is_rearranged: true,
-            home: FastSet::default(),
+            are_targets_current: true,
+            local_addresses: FastSet::default(),
             ticked_at: now,
             agreed_at: now,
-            asked_at: now,
-            is_doubtful: false,
+            synced_at: now,
+            is_isolated: false,
         }
     }
 
@@ -82,72 +85,76 @@
     }
 
     /// Takes in who an instance is. A new run replaces an older one at the same address.
-    pub fn learn(&mut self, now: Micros, member: Member) -> Learned {
+    pub fn learn(&mut self, now: Micros, member: Member) -> LearnOutcome {
         if member.incarnation == self.own {
-            return Learned::Known;
+            return LearnOutcome::Known;
         }
         if let Some(peer) = self.peers.get(&member.incarnation) {
-            return if peer.is_up { Learned::Known } else { Learned::Doubted };
+            return if peer.is_up { LearnOutcome::Known } else { LearnOutcome::KnownDown };
         }
         self.peers.retain(|_, peer| peer.member.peers != member.peers);
         if member.domain == self.domain {
-            self.home.insert(member.peers);
+            self.local_addresses.insert(member.peers);
         } else {
-            self.home.remove(&member.peers);
+            self.local_addresses.remove(&member.peers);
         }
         let peer = Peer::new(now, member);
         self.peers.insert(peer.member.incarnation, peer);
-        self.is_rearranged = false;
-        Learned::News
+        self.are_targets_current = false;
+        LearnOutcome::New
     }
 
     /// An instance has said who it is, so that it is there, whatever others say.
-    pub fn spoke(&mut self, now: Micros, incarnation: Incarnation) {
+    pub fn record_contact(&mut self, now: Micros, incarnation: Incarnation) {
         if let Some(peer) = self.peers.get_mut(&incarnation) {
-            peer.heard(now);
+            peer.record_contact(now);
         }
     }
 
     /// Whether an instance is known to be ready.
     pub fn is_ready(&self, incarnation: Incarnation) -> bool {
-        self.peers.get(&incarnation).is_some_and(|peer| peer.vitals.is_ready)
+        self.peers.get(&incarnation).is_some_and(|peer| peer.status.is_ready)
     }
 
     /// Takes in a heartbeat.
-    pub fn hear(&mut self, now: Micros, beat: &Beat) -> Heard {
-        for accused in &beat.accused {
+    pub fn hear(&mut self, now: Micros, heartbeat: &Heartbeat) -> HeartbeatOutcome {
+        for accused in &heartbeat.accused {
             if let Some(peer) = self.peers.get_mut(accused) {
-                peer.accusers.insert(beat.from, now);
+                peer.accusers.insert(heartbeat.from, now);
             }
         }
-        let Some(peer) = self.peers.get_mut(&beat.from) else { return Heard::Stranger };
-        peer.heard(now);
-        peer.vitals = beat.vitals;
-        if beat.accused.contains(&self.own) {
-            return Heard::Accused;
+        let Some(peer) = self.peers.get_mut(&heartbeat.from) else {
+            return HeartbeatOutcome::UnknownSender;
+        };
+        peer.record_contact(now);
+        peer.status = heartbeat.status;
+        if heartbeat.accused.contains(&self.own) {
+            return HeartbeatOutcome::AccusesUs;
         }
-        self.compare(now, beat)
+        self.compare(now, heartbeat)
     }
 
-    fn compare(&mut self, now: Micros, beat: &Beat) -> Heard {
-        let agrees = beat.digest == self.digest();
-        let Some(peer) = self.peers.get_mut(&beat.from) else { return Heard::Stranger };
+    fn compare(&mut self, now: Micros, heartbeat: &Heartbeat) -> HeartbeatOutcome {
+        let agrees = heartbeat.digest == self.digest();
+        let Some(peer) = self.peers.get_mut(&heartbeat.from) else {
+            return HeartbeatOutcome::UnknownSender;
+        };
         if agrees {
             peer.differs_since = None;
             self.agreed_at = now;
-            return Heard::Known;
+            return HeartbeatOutcome::Known;
         }
         let since = *peer.differs_since.get_or_insert(now);
-        let since_asked = now - self.asked_at;
-        let is_other_than_all =
-            now - self.agreed_at > self.cfg.settles_within && since_asked >= self.cfg.ask_pause;
-        let is_other_for_long =
-            now - since > self.cfg.differs_for && since_asked >= self.cfg.differs_pause;
-        if !is_other_than_all && !is_other_for_long {
-            return Heard::Known;
+        let since_sync = now - self.synced_at;
+        let differs_from_all =
+            now - self.agreed_at > self.cfg.settle_time && since_sync >= self.cfg.min_sync_interval;
+        let differs_for_long = now - since > self.cfg.max_peer_difference
+            && since_sync >= self.cfg.min_peer_sync_interval;
+        if !differs_from_all && !differs_for_long {
+            return HeartbeatOutcome::Known;
         }
-        self.asked_at = now;
-        Heard::Differs
+        self.synced_at = now;
+        HeartbeatOutcome::ViewDiffers
     }
 
     /// Digest of the instances that are believed to answer, this one included. Incarnations are random
@@ -160,62 +167,67 @@
     /// An instance has said that it ends.
     pub fn ended(&mut self, incarnation: Incarnation) {
         self.peers.remove(&incarnation);
-        self.is_rearranged = false;
+        self.are_targets_current = false;
     }
 
     /// Looks at who has become silent or is heard again. Returns what changed.
-    pub fn tick(&mut self, now: Micros) -> Vec<Belief> {
+    pub fn tick(&mut self, now: Micros) -> Vec<ReachabilityChange> {
         let pause = now - self.ticked_at;
         self.ticked_at = now;
-        if pause > self.cfg.own_pause {
+        if pause > self.cfg.max_tick_gap {
             for peer in self.peers.values_mut() {
-                peer.heard_at = now;
+                peer.last_heard_at = now;
             }
         }
         let cfg = &self.cfg;
         let known = self.peers.len();
-        self.peers.retain(|_, peer| now - peer.heard_at < cfg.forget_after);
-        self.is_rearranged &= self.peers.len() == known;
-        self.arrange();
+        self.peers.retain(|_, peer| now - peer.last_heard_at < cfg.forget_after);
+        self.are_targets_current &= self.peers.len() == known;
+        self.update_targets();
         let monitored = &self.monitored;
-        let silent = |peer: &Peer| now - peer.heard_at > self.cfg.silent_after;
-        let quiet =
+        let silent = |peer: &Peer| now - peer.last_heard_at > self.cfg.silent_after;
+        let silent_count =
             self.peers.iter().filter(|(id, p)| monitored.contains(*id) && silent(p)).count();
-        self.is_doubtful = monitored.len() > 2 && quiet * 2 > monitored.len();
+        self.is_isolated = monitored.len() > 2 && silent_count * 2 > monitored.len();
         let mut changes = Vec::new();
         for (id, peer) in &mut self.peers {
-            let silence = now - peer.heard_at;
-            peer.accusers.retain(|_, at| now - *at < self.cfg.accusation);
+            let silence = now - peer.last_heard_at;
+            peer.accusers.retain(|_, at| now - *at < self.cfg.accusation_ttl);
             let is_own = monitored.contains(id);
             let is_up = if is_own {
                 silence <= self.cfg.silent_after
             } else {
                 // An accusation is told once and forgotten; what it led to holds until the instance is heard.
-                !peer.is_missed && peer.accusers.len() < self.cfg.accusers
+                !peer.awaits_contact && peer.accusers.len() < self.cfg.required_accusers
             };
             if is_up != peer.is_up {
                 peer.is_up = is_up;
-                peer.is_missed = !is_up;
-                changes.push(Belief { member: peer.member.clone(), is_up, silence, is_own });
+                peer.awaits_contact = !is_up;
+                changes.push(ReachabilityChange {
+                    member: peer.member.clone(),
+                    is_up,
+                    silence,
+                    is_own,
+                });
             }
         }
         changes
     }
 
     /// Whether this instance hears so few of the others that it must be cut off itself.
-    pub fn is_doubtful(&self) -> bool {
-        self.is_doubtful
+    pub fn is_isolated(&self) -> bool {
+        self.is_isolated
     }
 
     /// Longest silence of an instance that sends its heartbeats here and is believed to answer.
     pub fn longest_silence(&self, now: Micros) -> Micros {
         let monitored = self.peers.iter().filter(|(id, p)| p.is_up && self.monitored.contains(*id));
-        monitored.map(|(_, peer)| now - peer.heard_at).max().unwrap_or(Micros::ZERO)
+        monitored.map(|(_, peer)| now - peer.last_heard_at).max().unwrap_or(Micros::ZERO)
     }
 
     /// Instances that this one finds silent, to be told with its heartbeats.
     pub fn accused(&self) -> Vec<Incarnation> {
-        if self.is_doubtful {
+        if self.is_isolated {
             return Vec::new();
         }
         let monitored = &self.monitored;
@@ -225,21 +237,21 @@
 
     /// Addresses that a heartbeat is due to now; more of them for an instance that serves callers.
     pub fn due(&mut self, now: Micros, serves_callers: bool) -> Vec<SocketAddr> {
-        self.arrange();
+        self.update_targets();
         let cfg = &self.cfg;
         let mut due = Vec::new();
         for (id, peer) in &mut self.peers {
             let is_target = self.targets.contains(id);
-            let is_home = || peer.member.domain == self.domain;
+            let is_local = || peer.member.domain == self.domain;
             let pause = match peer.is_up {
                 true if is_target => cfg.period,
-                true if serves_callers && is_home() => cfg.home_period,
+                true if serves_callers && is_local() => cfg.local_period,
                 false if is_target || self.monitored.contains(id) => cfg.silent_period,
                 _ => continue,
             };
             // Half a millisecond makes up for timers that fire early or late.
-            if now + Micros(500) >= peer.sent_at + pause {
-                peer.sent_at = now;
+            if now + Micros(500) >= peer.last_sent_at + pause {
+                peer.last_sent_at = now;
                 due.push(peer.member.peers);
             }
         }
@@ -253,17 +265,17 @@
 
     /// Addresses of all others, also of those that are silent: whoever takes this instance for gone may be
     /// one that this instance has lost as well.
-    pub fn everybody(&self) -> Vec<SocketAddr> {
+    pub fn all_addresses(&self) -> Vec<SocketAddr> {
         self.peers.values().map(|peer| peer.member.peers).collect()
     }
 
     /// Addresses of those that answer of the own failure domain and of those that serve callers in others,
     /// for what only they use.
-    pub fn home_and_serving(&self) -> Vec<SocketAddr> {
-        let hears = |peer: &&Peer| {
-            peer.is_up && (peer.member.domain == self.domain || peer.vitals.serves_callers)
+    pub fn local_and_serving_addresses(&self) -> Vec<SocketAddr> {
+        let is_recipient = |peer: &&Peer| {
+            peer.is_up && (peer.member.domain == self.domain || peer.status.serves_callers)
         };
-        self.peers.values().filter(hears).map(|peer| peer.member.peers).collect()
+        self.peers.values().filter(is_recipient).map(|peer| peer.member.peers).collect()
     }
 
     /// Addresses of those that get this instance's heartbeats.
@@ -273,24 +285,24 @@
     }
 
     /// Whether an instance of the own failure domain has this address.
-    pub fn is_home(&self, address: &SocketAddr) -> bool {
-        self.home.contains(address)
+    pub fn is_local(&self, address: &SocketAddr) -> bool {
+        self.local_addresses.contains(address)
     }
 
     /// Works out anew who monitors whom, where the instances have changed.
-    fn arrange(&mut self) {
-        if std::mem::replace(&mut self.is_rearranged, true) {
+    fn update_targets(&mut self) {
+        if std::mem::replace(&mut self.are_targets_current, true) {
             return;
         }
         let others = self.peers.values().map(|p| (p.member.incarnation, &p.member.domain));
         let mut ring: Vec<(Incarnation, &DomainId)> = others.collect();
         ring.push((self.own, &self.domain));
         ring.sort_unstable();
-        let hears = |at: usize| ring::hears(&self.cfg, &ring, at);
+        let targets_of = |at: usize| ring::heartbeat_targets(&self.cfg, &ring, at);
         let own = ring.iter().position(|(id, _)| *id == self.own).unwrap_or(0);
-        let targets: FastSet<Incarnation> = hears(own).into_iter().collect();
-        let is_heard = |at: &usize| *at != own && hears(*at).contains(&self.own);
-        let monitored = (0..ring.len()).filter(is_heard).map(|at| ring[at].0).collect();
+        let targets: FastSet<Incarnation> = targets_of(own).into_iter().collect();
+        let targets_us = |at: &usize| *at != own && targets_of(*at).contains(&self.own);
+        let monitored = (0..ring.len()).filter(targets_us).map(|at| ring[at].0).collect();
         self.targets = targets;
         self.monitored = monitored;
     }
--- a/crates/galenapath-membership/src/vitals.rs
+++ b/crates/galenapath-membership/src/instance_status.rs
@@ -16,7 +16,7 @@
 
 /// What an instance tells of itself with each heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Vitals {
+pub struct InstanceStatus {
     /// Whether it can serve requests.
     pub is_ready: bool,
     /// Whether a planned stop has begun.
@@ -41,11 +41,11 @@
 
 /// A heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Who sends it.
     pub from: Incarnation,
     /// What it tells of itself.
-    pub vitals: Vitals,
+    pub status: InstanceStatus,
     /// Instances that it finds silent.
     pub accused: Vec<Incarnation>,
     /// Digest of the instances that it believes in, itself included.
@@ -54,14 +54,14 @@
 
 /// What hearing a heartbeat says about its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum HeartbeatOutcome {
     /// It is known.
     Known,
     /// Nothing but its incarnation is known; it has to be asked.
-    Stranger,
+    UnknownSender,
     /// It is known and accuses this instance of being silent, which has to tell all that it is not.
-    Accused,
+    AccusesUs,
     /// It is known, and for some time nobody heard has believed in the same instances as this one: it
     /// has to be asked.
-    Differs,
+    ViewDiffers,
 }
--- a/crates/galenapath-membership/src/leaving.rs
+++ b/crates/galenapath-membership/src/leaving.rs
@@ -8,10 +8,10 @@
 
 /// Most marks kept; the oldest go first. Far above the number of servers that leave within
 /// `KEEP` at the largest size designed for (440 replacements a day).
-const MOST_MARKS: usize = 4_096;
+const MAX_MARKS: usize = 4_096;
 
 /// How long a mark is kept; longer than any lag of the platform's list.
-const KEEP: Micros = Micros::from_secs(3_600);
+const MARK_TTL: Micros = Micros::from_secs(3_600);
 
 /// A run of a backend server that is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -23,7 +23,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Marked {
+struct MarkedRun {
     started: u64,
     at: Micros,
 }
@@ -31,7 +31,7 @@
 /// Marks of backend servers that are leaving.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingMarks {
-    marks: FastMap<BackendId, Marked>,
+    marks: FastMap<BackendId, MarkedRun>,
 }
 
 impl LeavingMarks {
@@ -41,7 +41,7 @@
             return false;
         }
         self.make_room(now);
-        self.marks.insert(mark.backend.clone(), Marked { started: mark.started, at: now });
+        self.marks.insert(mark.backend.clone(), MarkedRun { started: mark.started, at: now });
         true
     }
 
@@ -62,11 +62,11 @@
     }
 
     fn make_room(&mut self, now: Micros) {
-        if self.marks.len() < MOST_MARKS {
+        if self.marks.len() < MAX_MARKS {
             return;
         }
-        self.marks.retain(|_, marked| now < marked.at + KEEP);
-        if self.marks.len() < MOST_MARKS {
+        self.marks.retain(|_, marked| now < marked.at + MARK_TTL);
+        if self.marks.len() < MAX_MARKS {
             return;
         }
         let oldest = self.marks.iter().min_by_key(|(_, marked)| marked.at);
--- a/crates/galenapath-membership/src/lib.rs
+++ b/crates/galenapath-membership/src/lib.rs
@@ -1,28 +1,32 @@
-//! Who is there: entry instances, by probing and gossip, and backend servers, by the platform's
-//! list and by what they and the peers say of their leaving.
+//! Which entry instances are available, and which backend servers exist or are leaving.
 //!
-//! Pure state machines: time, probe results and messages come in; probes and rumors go out.
+//! Two views of the other instances are kept here: [`HeartbeatMembership`], fed by heartbeats, and
+//! [`GossipMembership`], fed by probes and gossip. Backend servers are known from the platform's
+//! list ([`TrackedList`]) and from leaving notices ([`LeavingMarks`]).
+//!
+//! Everything here is a pure state machine: callers pass in the time, probe results and received
+//! messages, and send the probes and updates that come out.
 
-mod beat_config;
-mod beats;
-mod config;
+mod gossip_config;
+mod gossip_membership;
+mod gossip_queue;
+mod heartbeat_config;
+mod heartbeat_membership;
+mod instance_status;
 mod leaving;
-mod listing;
 mod member;
-mod members;
 mod peer;
 mod ring;
-mod rumors;
-mod vitals;
+mod tracked_list;
 mod watchers;
 
-pub use beat_config::BeatConfig;
-pub use beats::Beats;
-pub use config::MembershipConfig;
+pub use gossip_config::GossipConfig;
+pub use gossip_membership::{GossipMembership, Probe};
+pub use heartbeat_config::HeartbeatConfig;
+pub use heartbeat_membership::HeartbeatMembership;
+pub use instance_status::{Heartbeat, HeartbeatOutcome, InstanceStatus, StoreHealth};
 pub use leaving::{LeavingMark, LeavingMarks};
-pub use listing::{ListDelta, TrackedList};
 pub use member::{Member, MemberStatus};
-pub use members::{Members, Probe};
-pub use peer::{Belief, Learned, Peer};
-pub use vitals::{Beat, Heard, StoreHealth, Vitals};
-pub use watchers::{WATCHERS, WatchRole, reads_first, watch_role};
+pub use peer::{LearnOutcome, Peer, ReachabilityChange};
+pub use tracked_list::{ListDelta, TrackedList};
+pub use watchers::{WATCHERS, WatchRole, reads_store_at_start, watch_role};
--- a/crates/galenapath-membership/src/peer.rs
+++ b/crates/galenapath-membership/src/peer.rs
@@ -1,11 +1,11 @@
 //! Another instance as one knows it.
 
-use crate::{Member, MemberStatus, Vitals};
+use crate::{InstanceStatus, Member, MemberStatus};
 use galenapath_protocol::{FastMap, Incarnation, Micros};
 
 /// A change of what is believed of another instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Belief {
+pub struct ReachabilityChange {
     /// The instance.
     pub member: Member,
     /// Whether it is believed to answer now.
@@ -18,13 +18,13 @@
 
 /// What learning of an instance says about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Learned {
+pub enum LearnOutcome {
     /// It is new.
-    News,
+    New,
     /// It is known.
     Known,
     /// It is known and taken for gone: whoever tells of it knows better, or does not know it yet.
-    Doubted,
+    KnownDown,
 }
 
 /// Another instance.
@@ -33,12 +33,12 @@
     /// Who it is.
     pub member: Member,
     /// What it last told.
-    pub vitals: Vitals,
-    pub(crate) heard_at: Micros,
-    pub(crate) sent_at: Micros,
+    pub status: InstanceStatus,
+    pub(crate) last_heard_at: Micros,
+    pub(crate) last_sent_at: Micros,
     pub(crate) is_up: bool,
     /// Whether it was taken for gone and has not been heard since.
-    pub(crate) is_missed: bool,
+    pub(crate) awaits_contact: bool,
     /// Since when each of its heartbeats has told of other instances than this one believes in.
     pub(crate) differs_since: Option<Micros>,
     /// Who finds it silent, and since when.
@@ -49,11 +49,11 @@
     /// An instance that has just been heard of.
     pub(crate) fn new(now: Micros, member: Member) -> Self {
         Self {
-            vitals: Vitals::default(),
-            heard_at: now,
-            sent_at: Micros::ZERO,
+            status: InstanceStatus::default(),
+            last_heard_at: now,
+            last_sent_at: Micros::ZERO,
             is_up: member.status != MemberStatus::Gone,
-            is_missed: false,
+            awaits_contact: false,
             differs_since: None,
             accusers: FastMap::default(),
             member,
@@ -66,14 +66,14 @@
     }
 
     /// It has been heard itself.
-    pub(crate) fn heard(&mut self, now: Micros) {
-        self.heard_at = now;
+    pub(crate) fn record_contact(&mut self, now: Micros) {
+        self.last_heard_at = now;
         self.accusers.clear();
-        self.is_missed = false;
+        self.awaits_contact = false;
     }
 
     /// Whether callers may be sent to it.
     pub fn is_usable(&self) -> bool {
-        self.is_up && self.vitals.is_ready && !self.vitals.is_leaving
+        self.is_up && self.status.is_ready && !self.status.is_leaving
     }
 }
--- a/crates/galenapath-membership/src/listing.rs
+++ b/crates/galenapath-membership/src/tracked_list.rs
@@ -9,7 +9,7 @@
 
 /// Changes remembered. A peer that is further behind gets the whole list. At 440 replacements a
 /// day with three changes each this is more than a day's.
-const REMEMBERED: usize = 2_048;
+const MAX_CHANGES: usize = 2_048;
 
 /// A list at some position of the platform's store, and the changes before it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     ///
     /// A peer at any other position may hold an entry that was changed and changed back between
     /// two of these, of which nothing is known here.
-    seen: VecDeque<u64>,
+    known_positions: VecDeque<u64>,
 }
 
 /// One entry that was put in or taken out.
@@ -53,7 +53,7 @@
             position: 0,
             entries: BTreeMap::new(),
             changes: VecDeque::new(),
-            seen: VecDeque::new(),
+            known_positions: VecDeque::new(),
         }
     }
 }
@@ -76,9 +76,9 @@
     pub fn take_list(&mut self, position: u64, list: BTreeMap<String, T>) -> bool {
         if position < self.position {
             self.changes.clear();
-            self.seen.clear();
+            self.known_positions.clear();
         }
-        let is_first = self.seen.is_empty();
+        let is_first = self.known_positions.is_empty();
         let before = std::mem::replace(&mut self.entries, list);
         if is_first {
             self.move_to(position, Vec::new());
@@ -97,7 +97,7 @@
         if after >= self.position {
             return None;
         }
-        if !self.seen.contains(&after) {
+        if !self.known_positions.contains(&after) {
             let put = self.entries.clone();
             return Some(ListDelta { from: 0, to: self.position, put, removed: Vec::new() });
         }
@@ -141,19 +141,19 @@
     /// Moves to `position` and remembers the changes that led there.
     fn move_to(&mut self, position: u64, changed: Vec<String>) {
         self.position = position;
-        if self.seen.back() != Some(&position) {
-            self.seen.push_back(position);
+        if self.known_positions.back() != Some(&position) {
+            self.known_positions.push_back(position);
         }
         self.changes.extend(changed.into_iter().map(|id| Change { position, id }));
-        while self.changes.len() > REMEMBERED || self.seen.len() > REMEMBERED {
+        while self.changes.len() > MAX_CHANGES || self.known_positions.len() > MAX_CHANGES {
             self.forget_oldest();
         }
     }
 
     /// Forgets the oldest position and the changes that led from it to the next.
     fn forget_oldest(&mut self) {
-        self.seen.pop_front();
-        let Some(&oldest) = self.seen.front() else { return self.changes.clear() };
+        self.known_positions.pop_front();
+        let Some(&oldest) = self.known_positions.front() else { return self.changes.clear() };
         while self.changes.front().is_some_and(|change| change.position <= oldest) {
             self.changes.pop_front();
         }
--- a/crates/galenapath-membership/src/watchers.rs
+++ b/crates/galenapath-membership/src/watchers.rs
@@ -5,7 +5,7 @@
 //! with one, its outage is everybody's. So few watch, each of another failure domain where there is
 //! one, and an instance that the store does not answer steps back at once.
 
-use crate::{Peer, StoreHealth, Vitals};
+use crate::{InstanceStatus, Peer, StoreHealth};
 use galenapath_protocol::{DomainId, Incarnation, hash64};
 
 /// Instances that watch at a time: one to be cut off and one to go on.
@@ -23,7 +23,7 @@
     /// one of those whose turn it is.
     Retry,
     /// Leaves it to others.
-    Rest,
+    Standby,
 }
 
 /// Instances from which on the first reads of a fleet are left to few, whatever their sizes.
@@ -35,14 +35,17 @@
 /// little sooner and makes some calls more, a page for each fifty servers. It matters how soon the
 /// large ones serve, since callers are sent to them; a small one takes the state from a larger one that
 /// the store answers, and in a large fleet everybody does.
-pub fn reads_first<'a>(own_capacity: u32, mut peers: impl Iterator<Item = &'a Peer>) -> bool {
+pub fn reads_store_at_start<'a>(
+    own_capacity: u32,
+    mut peers: impl Iterator<Item = &'a Peer>,
+) -> bool {
     let mut known = 0;
     let mut is_answered = false;
     let has_larger = peers.any(|peer| {
-        let answers = peer.is_up() && peer.vitals.store == StoreHealth::Answering;
+        let answers = peer.is_up() && peer.status.store == StoreHealth::Answering;
         known += 1;
         is_answered |= answers;
-        answers && peer.vitals.capacity > own_capacity
+        answers && peer.status.capacity > own_capacity
     });
     !(has_larger || (is_answered && known >= MANY))
 }
@@ -57,15 +60,15 @@
 pub fn watch_role<'a>(
     own: Incarnation,
     own_domain: &'a DomainId,
-    own_vitals: &Vitals,
+    own_vitals: &InstanceStatus,
     peers: impl Iterator<Item = &'a Peer>,
 ) -> WatchRole {
     let mut all: Vec<Candidate<'a>> = peers
-        .filter(|peer| peer.is_up() && !peer.vitals.is_leaving)
+        .filter(|peer| peer.is_up() && !peer.status.is_leaving)
         .map(|peer| Candidate {
             id: peer.member.incarnation,
             domain: &peer.member.domain,
-            is_failing: peer.vitals.store == StoreHealth::Failing,
+            is_failing: peer.status.store == StoreHealth::Failing,
         })
         .collect();
     if !own_vitals.is_leaving {
@@ -74,11 +77,11 @@
     }
     all.sort_by_key(|c| (c.is_failing, hash64(ORDER_SEED, &c.id.0.to_le_bytes())));
     let chosen = spread_over_domains(&all);
-    let Some(me) = all.iter().position(|c| c.id == own) else { return WatchRole::Rest };
+    let Some(me) = all.iter().position(|c| c.id == own) else { return WatchRole::Standby };
     match (chosen.contains(&me), all[me].is_failing) {
         (true, false) => WatchRole::Watch,
         (true, true) => WatchRole::Retry,
-        (false, _) => WatchRole::Rest,
+        (false, _) => WatchRole::Standby,
     }
 }
 
--- a/crates/galenapath-membership/tests/fleet.rs
+++ b/crates/galenapath-membership/tests/fleet.rs
@@ -2,7 +2,8 @@
 //! everybody again.
 
 use galenapath_membership::{
-    Beat, BeatConfig, Beats, Heard, Learned, Member, MemberStatus, Vitals,
+    Heartbeat, HeartbeatConfig, HeartbeatMembership, HeartbeatOutcome, InstanceStatus,
+    LearnOutcome, Member, MemberStatus,
 };
 use galenapath_protocol::{DomainId, FastMap, Incarnation, InstanceId, Micros};
 use rand::rngs::SmallRng;
@@ -23,7 +24,7 @@
 
 struct Fleet {
     now: Micros,
-    nodes: Vec<Beats>,
+    nodes: Vec<HeartbeatMembership>,
     members: Vec<Member>,
     rng: SmallRng,
     differing: Differing,
@@ -70,8 +71,13 @@
         }
     }
 
-    fn beats(&self, member: &Member) -> Beats {
-        Beats::new(BeatConfig::default(), member.incarnation, member.domain.clone(), self.now)
+    fn beats(&self, member: &Member) -> HeartbeatMembership {
+        HeartbeatMembership::new(
+            HeartbeatConfig::default(),
+            member.incarnation,
+            member.domain.clone(),
+            self.now,
+        )
     }
 
     fn is_lost(&mut self) -> bool {
@@ -85,26 +91,26 @@
         }
         let asking = self.members[from].clone();
         self.nodes[to].learn(self.now, asking.clone());
-        self.nodes[to].spoke(self.now, asking.incarnation);
+        self.nodes[to].record_contact(self.now, asking.incarnation);
         let mut known: Vec<Member> =
             self.nodes[to].peers().filter(|p| p.is_up()).map(|p| p.member.clone()).collect();
         known.push(self.members[to].clone());
         for member in known {
             let learned = self.nodes[from].learn(self.now, member.clone());
             let other = usize::from(member.peers.port() - 2_000);
-            if learned == Learned::Known || other == to || self.is_lost() {
+            if learned == LearnOutcome::Known || other == to || self.is_lost() {
                 continue;
             }
-            if self.nodes[other].learn(self.now, asking.clone()) != Learned::News {
+            if self.nodes[other].learn(self.now, asking.clone()) != LearnOutcome::New {
                 self.tell(other, from);
             }
         }
     }
 
-    fn beat_of(&self, n: usize) -> Beat {
-        Beat {
+    fn beat_of(&self, n: usize) -> Heartbeat {
+        Heartbeat {
             from: self.members[n].incarnation,
-            vitals: Vitals::default(),
+            status: InstanceStatus::default(),
             accused: self.nodes[n].accused(),
             digest: self.nodes[n].digest(),
         }
@@ -117,10 +123,10 @@
         }
         let beat = self.beat_of(from);
         match self.nodes[to].hear(self.now, &beat) {
-            Heard::Known => {}
-            Heard::Accused => self.answer_accusation(to),
-            Heard::Differs if self.differing == Differing::Ignores => {}
-            Heard::Stranger | Heard::Differs => self.ask(to, from),
+            HeartbeatOutcome::Known => {}
+            HeartbeatOutcome::AccusesUs => self.answer_accusation(to),
+            HeartbeatOutcome::ViewDiffers if self.differing == Differing::Ignores => {}
+            HeartbeatOutcome::UnknownSender | HeartbeatOutcome::ViewDiffers => self.ask(to, from),
         }
     }
 
@@ -131,7 +137,7 @@
             return;
         }
         self.answered.insert(n, self.now);
-        for to in self.nodes[n].everybody() {
+        for to in self.nodes[n].all_addresses() {
             self.tell(n, usize::from(to.port() - 2_000));
         }
     }
@@ -178,7 +184,7 @@
 
     /// Pairs of which the first does not believe in the second.
     fn disbeliefs(&self) -> usize {
-        let believed = |node: &Beats| -> FastMap<Incarnation, bool> {
+        let believed = |node: &HeartbeatMembership| -> FastMap<Incarnation, bool> {
             node.peers().map(|peer| (peer.member.incarnation, peer.is_up())).collect()
         };
         let count = |n: usize| {
--- a/crates/galenapath-membership/tests/beats.rs
+++ b/crates/galenapath-membership/tests/heartbeats.rs
@@ -3,8 +3,9 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use galenapath_membership::{
-    Beat, BeatConfig, Beats, Heard, Learned, Member, MemberStatus, Peer, StoreHealth, Vitals,
-    WatchRole, reads_first, watch_role,
+    Heartbeat, HeartbeatConfig, HeartbeatMembership, HeartbeatOutcome, InstanceStatus,
+    LearnOutcome, Member, MemberStatus, Peer, StoreHealth, WatchRole, reads_store_at_start,
+    watch_role,
 };
 use galenapath_protocol::{DomainId, Incarnation, InstanceId, Micros};
 use std::net::SocketAddr;
@@ -27,26 +28,27 @@
     }
 }
 
-fn beats(own: u64, others: impl Iterator<Item = u64>) -> Beats {
-    let mut beats = Beats::new(BeatConfig::default(), Incarnation(own), domain(own), START);
+fn beats(own: u64, others: impl Iterator<Item = u64>) -> HeartbeatMembership {
+    let mut beats =
+        HeartbeatMembership::new(HeartbeatConfig::default(), Incarnation(own), domain(own), START);
     for n in others.filter(|n| *n != own) {
         beats.learn(START, member(n));
     }
     beats
 }
 
-fn beat(from: u64, accused: &[u64]) -> Beat {
-    let vitals = Vitals { is_ready: true, ..Vitals::default() };
+fn beat(from: u64, accused: &[u64]) -> Heartbeat {
+    let status = InstanceStatus { is_ready: true, ..InstanceStatus::default() };
     let accused = accused.iter().map(|n| Incarnation(*n)).collect();
-    Beat { from: Incarnation(from), vitals, accused, digest: 0 }
+    Heartbeat { from: Incarnation(from), status, accused, digest: 0 }
 }
 
-fn peer(beats: &Beats, n: u64) -> Peer {
+fn peer(beats: &HeartbeatMembership, n: u64) -> Peer {
     beats.peers().find(|peer| peer.member.incarnation == Incarnation(n)).cloned().unwrap()
 }
 
 /// Lets time pass in steps; those in `heard` send heartbeats.
-fn pass(beats: &mut Beats, from: Micros, ms: u64, heard: &[u64]) -> Micros {
+fn pass(beats: &mut HeartbeatMembership, from: Micros, ms: u64, heard: &[u64]) -> Micros {
     let mut now = from;
     for _ in 0..ms / 50 {
         now = now + Micros::from_millis(50);
@@ -87,7 +89,7 @@
     let all: Vec<u64> = (1..16).collect();
     let now = pass(&mut beats, START, 500, &all);
     pass(&mut beats, now, 2_000, &[3]);
-    assert!(beats.is_doubtful());
+    assert!(beats.is_isolated());
     assert!(beats.accused().is_empty());
 }
 
@@ -128,8 +130,8 @@
 #[test]
 fn hear_own_accusation_answered() {
     let mut beats = beats(0, 0..60);
-    assert_eq!(beats.hear(START, &beat(50, &[7])), Heard::Known);
-    assert_eq!(beats.hear(START, &beat(50, &[0])), Heard::Accused);
+    assert_eq!(beats.hear(START, &beat(50, &[7])), HeartbeatOutcome::Known);
+    assert_eq!(beats.hear(START, &beat(50, &[0])), HeartbeatOutcome::AccusesUs);
 }
 
 #[test]
@@ -140,8 +142,8 @@
         beats.hear(START, &beat(accuser, &[20]));
     }
     beats.tick(START + Micros::from_millis(50));
-    assert_eq!((beats.all().len(), beats.everybody().len()), (58, 59));
-    beats.spoke(START, Incarnation(20));
+    assert_eq!((beats.all().len(), beats.all_addresses().len()), (58, 59));
+    beats.record_contact(START, Incarnation(20));
     beats.tick(START + Micros::from_millis(100));
     assert_eq!(beats.all().len(), 59);
 }
@@ -149,11 +151,11 @@
 #[test]
 fn learn_of_one_taken_for_gone_is_doubted() {
     let mut beats = beats(0, 0..60);
-    assert_eq!(beats.learn(START, member(20)), Learned::Known);
+    assert_eq!(beats.learn(START, member(20)), LearnOutcome::Known);
     beats.hear(START, &beat(50, &[20]));
     beats.hear(START, &beat(51, &[20]));
     beats.tick(START + Micros::from_millis(50));
-    assert_eq!(beats.learn(START, member(20)), Learned::Doubted);
+    assert_eq!(beats.learn(START, member(20)), LearnOutcome::KnownDown);
 }
 
 #[test]
@@ -167,7 +169,8 @@
 
 #[test]
 fn due_others_make_up_for_a_small_home() {
-    let mut beats = Beats::new(BeatConfig::default(), Incarnation(0), domain(0), START);
+    let mut beats =
+        HeartbeatMembership::new(HeartbeatConfig::default(), Incarnation(0), domain(0), START);
     // One other instance at home, forty elsewhere.
     for n in (0..61).filter(|n| n % 3 != 0 || *n == 30) {
         beats.learn(START, member(n));
@@ -192,7 +195,7 @@
 fn tick_domain_lost_whole_missed_by_others() {
     let fleet = 90;
     let gone = |n: u64| n % 3 == 1;
-    let mut all: Vec<Beats> = (0..fleet).map(|n| beats(n, 0..fleet)).collect();
+    let mut all: Vec<HeartbeatMembership> = (0..fleet).map(|n| beats(n, 0..fleet)).collect();
     let mut now = START;
     let mut accused: Vec<(u64, Vec<Incarnation>)> = Vec::new();
     for _ in 0..40 {
@@ -211,7 +214,7 @@
     }
     let observer = &mut all[0];
     for (from, list) in accused {
-        observer.hear(now, &Beat { accused: list, ..beat(from, &[]) });
+        observer.hear(now, &Heartbeat { accused: list, ..beat(from, &[]) });
     }
     observer.tick(now);
     let left = observer.peers().filter(|p| p.is_up() && gone(p.member.incarnation.0)).count();
@@ -221,8 +224,8 @@
 #[test]
 fn due_bounded_in_a_large_fleet() {
     let mut beats = beats(0, 0..120);
-    let everybody: Vec<u64> = (1..120).collect();
-    let now = pass(&mut beats, START, 100, &everybody);
+    let all_addresses: Vec<u64> = (1..120).collect();
+    let now = pass(&mut beats, START, 100, &all_addresses);
     assert_eq!(beats.due(now, false).len(), 6);
     assert!(beats.due(now + Micros::from_millis(100), false).is_empty());
     assert_eq!(beats.due(now + Micros::from_millis(250), false).len(), 6);
@@ -238,35 +241,39 @@
 #[test]
 fn hear_stranger_told() {
     let mut beats = beats(0, 0..3);
-    assert_eq!(beats.hear(START, &beat(1, &[])), Heard::Known);
-    assert_eq!(beats.hear(START, &beat(9, &[])), Heard::Stranger);
+    assert_eq!(beats.hear(START, &beat(1, &[])), HeartbeatOutcome::Known);
+    assert_eq!(beats.hear(START, &beat(9, &[])), HeartbeatOutcome::UnknownSender);
 }
 
 #[test]
 fn hear_other_instances_asked_when_it_lasts() {
     let mut beats = beats(0, 0..3);
-    let same = Beat { digest: beats.digest(), ..beat(1, &[]) };
-    let other = Beat { digest: beats.digest() ^ 77, ..beat(2, &[]) };
-    assert_eq!(beats.hear(START, &same), Heard::Known);
+    let same = Heartbeat { digest: beats.digest(), ..beat(1, &[]) };
+    let other = Heartbeat { digest: beats.digest() ^ 77, ..beat(2, &[]) };
+    assert_eq!(beats.hear(START, &same), HeartbeatOutcome::Known);
     let later = START + Micros::from_millis(300);
-    assert_eq!(beats.hear(later, &other), Heard::Known, "a start may not be known to all yet");
+    assert_eq!(
+        beats.hear(later, &other),
+        HeartbeatOutcome::Known,
+        "a start may not be known to all yet"
+    );
     let later = START + Micros::from_millis(2_700);
-    assert_eq!(beats.hear(later, &other), Heard::Differs);
+    assert_eq!(beats.hear(later, &other), HeartbeatOutcome::ViewDiffers);
     let soon = later + Micros::from_millis(300);
-    assert_eq!(beats.hear(soon, &other), Heard::Known, "asked just now");
+    assert_eq!(beats.hear(soon, &other), HeartbeatOutcome::Known, "asked just now");
 }
 
 #[test]
 fn hear_one_that_differs_for_long_asked_beside_others_that_agree() {
     let mut beats = beats(0, 0..3);
-    let same = Beat { digest: beats.digest(), ..beat(1, &[]) };
-    let other = Beat { digest: beats.digest() ^ 77, ..beat(2, &[]) };
-    let asked = |from: u64, to: u64, beats: &mut Beats| -> Vec<u64> {
+    let same = Heartbeat { digest: beats.digest(), ..beat(1, &[]) };
+    let other = Heartbeat { digest: beats.digest() ^ 77, ..beat(2, &[]) };
+    let asked = |from: u64, to: u64, beats: &mut HeartbeatMembership| -> Vec<u64> {
         let steps = (from..to).step_by(250);
         let at = |ms: u64| START + Micros::from_millis(ms);
         let is_asked = |ms: &u64| {
             beats.hear(at(*ms), &same);
-            beats.hear(at(*ms), &other) == Heard::Differs
+            beats.hear(at(*ms), &other) == HeartbeatOutcome::ViewDiffers
         };
         steps.filter(is_asked).collect()
     };
@@ -274,33 +281,37 @@
     // Eight seconds after the start at the earliest.
     assert_eq!(asked(2_000, 12_000, &mut beats), [8_000]);
     // One heartbeat that agrees begins the count anew.
-    beats.hear(START + Micros::from_millis(12_000), &Beat { digest: same.digest, ..other.clone() });
+    beats.hear(
+        START + Micros::from_millis(12_000),
+        &Heartbeat { digest: same.digest, ..other.clone() },
+    );
     assert!(asked(12_250, 14_000, &mut beats).is_empty());
 }
 
 #[test]
 fn reads_first_left_to_larger_or_many() {
     let answering = |n: u64, capacity: u32| {
-        let vitals = Vitals { store: StoreHealth::Answering, capacity, ..Vitals::default() };
-        Beat { from: Incarnation(n), vitals, accused: Vec::new(), digest: 0 }
+        let status =
+            InstanceStatus { store: StoreHealth::Answering, capacity, ..InstanceStatus::default() };
+        Heartbeat { from: Incarnation(n), status, accused: Vec::new(), digest: 0 }
     };
     let mut few = beats(0, 0..8);
-    assert!(reads_first(100, few.peers()), "nobody is answered");
+    assert!(reads_store_at_start(100, few.peers()), "nobody is answered");
     few.hear(START, &answering(3, 100));
-    assert!(reads_first(100, few.peers()), "of equal size, in a small fleet");
+    assert!(reads_store_at_start(100, few.peers()), "of equal size, in a small fleet");
     few.hear(START, &answering(4, 500));
-    assert!(!reads_first(100, few.peers()));
-    assert!(reads_first(500, few.peers()));
+    assert!(!reads_store_at_start(100, few.peers()));
+    assert!(reads_store_at_start(500, few.peers()));
     let mut many = beats(0, 0..60);
     many.hear(START, &answering(3, 100));
-    assert!(!reads_first(100, many.peers()));
+    assert!(!reads_store_at_start(100, many.peers()));
 }
 
 #[test]
 fn learn_new_run_replaces_the_old() {
     let mut beats = beats(0, 0..3);
     let again = Member { incarnation: Incarnation(77), ..member(2) };
-    assert_eq!(beats.learn(START, again), Learned::News);
+    assert_eq!(beats.learn(START, again), LearnOutcome::New);
     assert_eq!(beats.peers().count(), 2);
     assert!(beats.peers().any(|peer| peer.member.incarnation == Incarnation(77)));
 }
@@ -309,14 +320,14 @@
     let role = |own: u64, health: StoreHealth| {
         let mut beats = beats(own, fleet.iter().map(|(n, _)| *n));
         for (n, store) in fleet.iter().filter(|(n, _)| *n != own) {
-            let vitals = Vitals { store: *store, ..Vitals::default() };
+            let status = InstanceStatus { store: *store, ..InstanceStatus::default() };
             beats.hear(
                 START,
-                &Beat { from: Incarnation(*n), vitals, accused: Vec::new(), digest: 0 },
+                &Heartbeat { from: Incarnation(*n), status, accused: Vec::new(), digest: 0 },
             );
         }
-        let vitals = Vitals { store: health, ..Vitals::default() };
-        watch_role(Incarnation(own), &domain(own), &vitals, beats.peers())
+        let status = InstanceStatus { store: health, ..InstanceStatus::default() };
+        watch_role(Incarnation(own), &domain(own), &status, beats.peers())
     };
     fleet.iter().map(|(n, health)| (*n, role(*n, *health))).collect()
 }
--- a/crates/galenapath-membership/tests/merge.rs
+++ b/crates/galenapath-membership/tests/merge.rs
@@ -1,6 +1,6 @@
 //! The rule of merging news of members.
 
-use galenapath_membership::{Member, MemberStatus, Members, MembershipConfig};
+use galenapath_membership::{GossipConfig, GossipMembership, Member, MemberStatus};
 use galenapath_protocol::{DomainId, Incarnation, InstanceId, Micros};
 use pathfinding::prelude::bfs_reach;
 use proptest::prelude::*;
@@ -20,16 +20,16 @@
 }
 
 /// A table of member 0 that knows members 1 to 3 as live.
-fn table() -> Members {
+fn table() -> GossipMembership {
     let mut members =
-        Members::new(MembershipConfig::default(), NOW, member(0, 0, MemberStatus::Live));
+        GossipMembership::new(GossipConfig::default(), NOW, member(0, 0, MemberStatus::Live));
     let list: Vec<Member> = (1..4).map(|i| member(i, 0, MemberStatus::Live)).collect();
     members.learn(NOW, &list);
     members
 }
 
 /// What a table says of others: beat and status by member.
-fn view(members: &Members) -> Vec<(u64, u64, MemberStatus)> {
+fn view(members: &GossipMembership) -> Vec<(u64, u64, MemberStatus)> {
     let mut view: Vec<_> = members
         .all()
         .filter(|m| m.incarnation.0 != 0)
--- a/crates/galenapath-membership/tests/network/mod.rs
+++ b/crates/galenapath-membership/tests/network/mod.rs
@@ -1,6 +1,6 @@
 //! A network of `Members` tables in virtual time: loss, reordering, cuts, pauses and restarts.
 
-use galenapath_membership::{Member, MemberStatus, Members, MembershipConfig, Probe};
+use galenapath_membership::{GossipConfig, GossipMembership, Member, MemberStatus, Probe};
 use galenapath_protocol::{DomainId, Incarnation, InstanceId, Micros, hash64};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -19,7 +19,7 @@
 }
 
 pub struct Node {
-    pub members: Members,
+    pub members: GossipMembership,
     pub incarnation: Incarnation,
     pub is_up: bool,
     pub is_paused: bool,
@@ -81,7 +81,7 @@
 
     fn node(&self, own: Member, list: &[Member]) -> Node {
         let incarnation = own.incarnation;
-        let mut members = Members::new(MembershipConfig::default(), self.now, own);
+        let mut members = GossipMembership::new(GossipConfig::default(), self.now, own);
         members.learn(self.now, list);
         Node { members, incarnation, is_up: true, is_paused: false, side: 0, open: Vec::new() }
     }
--- a/crates/galenapath-routes/src/changes.rs
+++ b/crates/galenapath-routes/src/changes.rs
@@ -21,7 +21,7 @@
     /// The entry.
     pub record: ServerRecord,
     /// Time left for the entry to come back, for one that vanished while the store was away.
-    pub lapses_in: Option<Micros>,
+    pub expires_in: Option<Micros>,
 }
 
 /// A removed entry.
@@ -51,7 +51,7 @@
 
 /// A change of the list that a reader of it can see, whichever way it was learned.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ListNews {
+pub enum VisibleChange {
     /// A server was added or changed.
     Listed {
         /// Revision of the entry.
--- a/crates/galenapath-routes/src/directory.rs
+++ b/crates/galenapath-routes/src/directory.rs
@@ -7,7 +7,7 @@
 //! under its identity while a write of its former run is still on its way: without the time of the start
 //! that write would bring the former run back, or keep the new one from getting requests.
 
-use crate::{Change, ListNews, ListedServer, Removal, ServerChanges, ServerRecord, StartedAt};
+use crate::{Change, ListedServer, Removal, ServerChanges, ServerRecord, StartedAt, VisibleChange};
 use galenapath_protocol::{BackendId, FastMap, FastSet, Micros};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
         ListedServer {
             revision: self.revision,
             record: ServerRecord::clone(&self.record),
-            lapses_in: self.lapses_at.map(|at| at - now),
+            expires_in: self.lapses_at.map(|at| at - now),
         }
     }
 }
@@ -61,7 +61,7 @@
     /// Counts changes that a reader of the list can see.
     generation: u64,
     /// What has changed since it was last asked.
-    news: Vec<ListNews>,
+    news: Vec<VisibleChange>,
     /// Names of services and failure domains, which all servers share.
     names: FastSet<Arc<str>>,
 }
@@ -79,7 +79,7 @@
 
     /// What has changed since the last call, in order. Whoever changes the list has to call this, or what
     /// has changed gathers.
-    pub fn take_news(&mut self) -> Vec<ListNews> {
+    pub fn take_visible_changes(&mut self) -> Vec<VisibleChange> {
         std::mem::take(&mut self.news)
     }
 
@@ -187,7 +187,7 @@
             self.remove_missing(position, &present.into_iter().collect());
         }
         for put in puts {
-            self.put(put.revision, put.record, put.lapses_in.map(|left| now + left));
+            self.put(put.revision, put.record, put.expires_in.map(|left| now + left));
         }
         for removal in removals {
             self.remove(removal.revision, &removal.id, None);
@@ -205,7 +205,7 @@
         }
         let record = Arc::new(self.with_shared_names(record));
         let Some(entry) = self.servers.get_mut(&record.id) else {
-            self.news.push(ListNews::Listed { revision, record: Arc::clone(&record) });
+            self.news.push(VisibleChange::Listed { revision, record: Arc::clone(&record) });
             self.servers.insert(record.id.clone(), Listed { revision, record, lapses_at });
             self.generation += 1;
             return true;
@@ -225,7 +225,7 @@
         entry.record = Arc::clone(&record);
         self.generation += u64::from(is_changed);
         if is_changed || is_back {
-            self.news.push(ListNews::Listed { revision, record });
+            self.news.push(VisibleChange::Listed { revision, record });
         }
         true
     }
@@ -261,7 +261,7 @@
         let Some(former) = former.filter(|former| former.started < record.started) else { return };
         let id = former.run_id();
         self.drop_entry(revision, &record.id);
-        self.news.push(ListNews::Removed { revision, id, gone_at: None });
+        self.news.push(VisibleChange::Removed { revision, id, gone_at: None });
     }
 
     fn remove(&mut self, revision: u64, id: &BackendId, gone_at: Option<Micros>) -> bool {
@@ -283,7 +283,7 @@
             }
             None => self.drop_entry(revision, id),
         }
-        self.news.push(ListNews::Removed { revision, id: run, gone_at });
+        self.news.push(VisibleChange::Removed { revision, id: run, gone_at });
         true
     }
 
--- a/crates/galenapath-routes/src/route.rs
+++ b/crates/galenapath-routes/src/route.rs
@@ -8,17 +8,17 @@
     /// May run more than once.
     Idempotent,
     /// Runs once at most; never sent again once a byte of it may have run.
-    OnceOnly,
+    NonIdempotent,
     /// A large answer; may run more than once.
     Download,
 }
 
 impl RouteKind {
     /// Whether a request may be sent again after it may have run.
-    pub const fn may_repeat(self) -> bool {
+    pub const fn is_idempotent(self) -> bool {
         match self {
             Self::Idempotent | Self::Download => true,
-            Self::OnceOnly => false,
+            Self::NonIdempotent => false,
         }
     }
 
@@ -26,7 +26,7 @@
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Idempotent => "idempotent",
-            Self::OnceOnly => "once_only",
+            Self::NonIdempotent => "once_only",
             Self::Download => "download",
         }
     }
@@ -34,7 +34,7 @@
 
 /// A service that a route sends requests to, and its share of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct WeightedService {
     /// Name of the service.
     pub service: String,
     /// Share relative to the other parts of the route; above zero.
@@ -53,7 +53,7 @@
     /// What may be repeated.
     pub kind: RouteKind,
     /// Where requests go; never empty.
-    pub parts: Vec<Part>,
+    pub parts: Vec<WeightedService>,
     /// Time after which the caller gets the final answer.
     pub timeout: Duration,
     /// Time within which an answer is worth most.
--- a/crates/galenapath-routes/src/table.rs
+++ b/crates/galenapath-routes/src/table.rs
@@ -18,7 +18,7 @@
     },
     /// A route sends requests nowhere.
     #[error("route `{0}` has no service with a weight above zero")]
-    NoParts(String),
+    NoWeightedService(String),
     /// A prefix that does not begin and end with a slash.
     #[error("route `{route}` has the prefix `{prefix}`, which must begin and end with a slash")]
     BadPrefix {
@@ -111,7 +111,7 @@
         return Err(TableError::BadPrefix { route, prefix });
     }
     if route.parts.iter().all(|part| part.weight == 0) {
-        return Err(TableError::NoParts(route.name.clone()));
+        return Err(TableError::NoWeightedService(route.name.clone()));
     }
     match route.parts.iter().find(|part| !services.contains_key(&part.service)) {
         Some(part) => Err(TableError::UnknownService {
--- a/crates/galenapath-routes/tests/directory.rs
+++ b/crates/galenapath-routes/tests/directory.rs
@@ -2,7 +2,7 @@
 
 use galenapath_protocol::{BackendId, DomainId, Micros};
 use galenapath_routes::{
-    Change, Directory, ListNews, ListedServer, ServerRecord, ServerState, StartedAt,
+    Change, Directory, ListedServer, ServerRecord, ServerState, StartedAt, VisibleChange,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
 }
 
 fn listed(revision: u64, n: u64) -> ListedServer {
-    ListedServer { revision, record: record(n, ServerState::Ready), lapses_in: None }
+    ListedServer { revision, record: record(n, ServerState::Ready), expires_in: None }
 }
 
 fn names(directory: &Directory) -> Vec<String> {
@@ -87,12 +87,12 @@
 fn apply_later_run_begins_anew() {
     let mut directory = Directory::default();
     directory.apply(5, Change::Put(run(100, ServerState::Leaving)), None);
-    directory.take_news();
+    directory.take_visible_changes();
     assert!(directory.apply(6, Change::Put(run(200, ServerState::Ready)), None));
     let listed = directory.get(&BackendId("s1".into()));
     assert_eq!(listed, Some(&run(200, ServerState::Ready)));
     assert_ne!(run(100, ServerState::Ready).run_id(), run(200, ServerState::Ready).run_id());
-    assert_eq!(directory.take_news().len(), 1);
+    assert_eq!(directory.take_visible_changes().len(), 1);
 }
 
 #[test]
@@ -102,7 +102,7 @@
     // A write of the former run that the store took late.
     assert!(!directory.apply(8, Change::Put(run(100, ServerState::Leaving)), None));
     let late =
-        ListedServer { revision: 9, record: run(100, ServerState::Leaving), lapses_in: None };
+        ListedServer { revision: 9, record: run(100, ServerState::Leaving), expires_in: None };
     directory.take_list(9, vec![late], None);
     let listed = directory.get(&BackendId("s1".into()));
     assert_eq!(listed, Some(&run(200, ServerState::Ready)));
@@ -164,13 +164,13 @@
 fn take_news_whichever_way_it_came() {
     let mut directory = Directory::default();
     directory.take_list(5, vec![listed(3, 1), listed(4, 2)], None);
-    assert_eq!(directory.take_news().len(), 2);
+    assert_eq!(directory.take_visible_changes().len(), 2);
     // Nothing but the revision has changed.
     directory.apply(6, Change::Put(record(1, ServerState::Ready)), None);
-    assert!(directory.take_news().is_empty());
+    assert!(directory.take_visible_changes().is_empty());
     directory.take_list(9, vec![listed(6, 1), listed(8, 3)], None);
-    let news = directory.take_news();
-    let removed = ListNews::Removed { revision: 9, id: BackendId("s2".into()), gone_at: None };
+    let news = directory.take_visible_changes();
+    let removed = VisibleChange::Removed { revision: 9, id: BackendId("s2".into()), gone_at: None };
     assert_eq!(news.len(), 2, "{news:?}");
     assert!(news.contains(&removed), "{news:?}");
 }
@@ -185,11 +185,11 @@
 fn apply_less_warm_up_no_change() {
     let mut directory = Directory::default();
     directory.apply(3, cold(3_000), None);
-    let (generation, news) = (directory.generation(), directory.take_news());
+    let (generation, news) = (directory.generation(), directory.take_visible_changes());
     assert_eq!(news.len(), 1);
     directory.apply(4, cold(1_500), None);
     assert_eq!(directory.generation(), generation);
-    assert!(directory.take_news().is_empty());
+    assert!(directory.take_visible_changes().is_empty());
 }
 
 #[test]
--- a/crates/galenapath-routes/tests/table.rs
+++ b/crates/galenapath-routes/tests/table.rs
@@ -4,7 +4,7 @@
 
 use galenapath_protocol::FastMap;
 use galenapath_routes::{
-    CallerLimits, Part, Route, RouteKind, RouteTable, ServiceSpec, TableError,
+    CallerLimits, Route, RouteKind, RouteTable, ServiceSpec, TableError, WeightedService,
 };
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
         host: host.into(),
         prefix: prefix.into(),
         kind: RouteKind::Idempotent,
-        parts: vec![Part { service: service.into(), weight: 1 }],
+        parts: vec![WeightedService { service: service.into(), weight: 1 }],
         timeout: Duration::from_secs(1),
         target: Duration::from_millis(400),
         max_attempts: 2,
@@ -63,5 +63,5 @@
     }
     let mut nowhere = route("r", "h", "/", "s");
     nowhere.parts[0].weight = 0;
-    assert_eq!(table(vec![nowhere]).unwrap_err(), TableError::NoParts("r".into()));
+    assert_eq!(table(vec![nowhere]).unwrap_err(), TableError::NoWeightedService("r".into()));
 }
--- a/crates/galenapath-routes/tests/split.rs
+++ b/crates/galenapath-routes/tests/weighted_round_robin.rs
@@ -1,15 +1,16 @@
 //! Shares of the parts of a route.
 
-use galenapath_routes::{Part, SplitTurn};
+use galenapath_routes::{WeightedRoundRobin, WeightedService};
 use proptest::prelude::*;
 
-fn parts(weights: &[u32]) -> Vec<Part> {
-    let part = |(n, weight): (usize, &u32)| Part { service: format!("s{n}"), weight: *weight };
+fn parts(weights: &[u32]) -> Vec<WeightedService> {
+    let part =
+        |(n, weight): (usize, &u32)| WeightedService { service: format!("s{n}"), weight: *weight };
     weights.iter().enumerate().map(part).collect()
 }
 
-fn counts(parts: &[Part], seed: u64, turns: usize) -> Vec<usize> {
-    let mut turn = SplitTurn::new(parts, seed);
+fn counts(parts: &[WeightedService], seed: u64, turns: usize) -> Vec<usize> {
+    let mut turn = WeightedRoundRobin::new(parts, seed);
     let mut counts = vec![0; parts.len()];
     for _ in 0..turns {
         counts[turn.next(parts)] += 1;
