--- a/crates/galenapath-dev/examples/slopes/in_process.rs
+++ b/crates/galenapath-dev/examples/slopes/in_process.rs
@@ -74,10 +74,10 @@
         now = now + Micros::from_millis(500);
         if let Some(probe) = black_box(members.tick(now)) {
             members.probe_answered(now, probe.incarnation);
-            black_box(members.news(probe.incarnation));
+            black_box(members.updates_for(probe.incarnation));
         }
         let mut news = list[1 + usize::try_from(n).unwrap_or(0) % (size - 1)].clone();
-        news.beat = n;
+        news.status_version = n;
         members.merge(now, &[news]);
     }
     let per_round = began.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64;
@@ -90,9 +90,9 @@
         id: InstanceId(format!("entry-{n}")),
         incarnation: Incarnation(hash64(1, &n.to_le_bytes())),
         domain: DomainId(format!("region-{}-domain-{}", n % 4, n % 13).into()),
-        callers: address(7000),
-        peers: address(7001),
-        beat: 0,
+        caller_address: address(7000),
+        peer_address: address(7001),
+        status_version: 0,
         status: MemberStatus::Live,
     }
 }
--- a/crates/galenapath-entry/src/control/gossip.rs
+++ b/crates/galenapath-entry/src/control/gossip.rs
@@ -55,7 +55,7 @@
     let mut members = plane.members.borrow_mut();
     match answer {
         Ok(Some(incarnation)) if incarnation != probe.incarnation => {
-            members.replaced(now, probe.incarnation);
+            members.mark_replaced(now, probe.incarnation);
         }
         Ok(_) => members.probe_answered(now, probe.incarnation),
         Err(_) => members.probe_failed(now, probe.incarnation),
@@ -83,7 +83,7 @@
 
 /// News for the peer with `incarnation`.
 fn news(plane: &ControlPlane, incarnation: Incarnation) -> ExchangeWire {
-    let members = plane.members.borrow_mut().news(incarnation);
+    let members = plane.members.borrow_mut().updates_for(incarnation);
     let leaving = plane.marks.borrow().recent(plane.now(), TELL_LEAVING);
     let facts = plane.suspects.borrow().export(plane.now());
     let (crashes, cleared) = crashes_and_cleared(&facts);
@@ -165,7 +165,7 @@
     reply: &flume::Sender<ExchangeWire>,
 ) {
     let Some(Ok(sender)) = heard.members.first().map(Member::try_from) else { return };
-    hear(plane, sender.peers, heard);
+    hear(plane, sender.peer_address, heard);
     let _ = reply.try_send(news(plane, sender.incarnation));
 }
 
@@ -175,7 +175,7 @@
     let own = plane.shared.incarnation;
     let peers: Vec<Member> =
         plane.members.borrow().usable().filter(|m| m.incarnation != own).cloned().collect();
-    let calls = peers.iter().map(|peer| exchange(plane, peer.peers, peer.incarnation));
+    let calls = peers.iter().map(|peer| exchange(plane, peer.peer_address, peer.incarnation));
     // A peer that does not answer hears the news by gossip.
     let _ = join_all(calls).await;
 }
--- a/crates/galenapath-entry/src/control/lists.rs
+++ b/crates/galenapath-entry/src/control/lists.rs
@@ -99,7 +99,7 @@
     follow(plane, BACKEND_LIST, |plane, listing| {
         let position = listing.position.0;
         let list = listing.instances.into_iter().map(|b| (b.id.clone(), b)).collect();
-        plane.backends.borrow_mut().take_list(position, list);
+        plane.backends.borrow_mut().apply_list(position, list);
         plane.publish_fleet();
     })
     .await;
@@ -143,9 +143,9 @@
         id: InstanceId(listed.id.clone()),
         incarnation,
         domain: DomainId(listed.domain().unwrap_or_default().into()),
-        callers: listed.address,
-        peers: listed.meta.get(PEERS_META)?.parse().ok()?,
-        beat: 0,
+        caller_address: listed.address,
+        peer_address: listed.meta.get(PEERS_META)?.parse().ok()?,
+        status_version: 0,
         status,
     })
 }
--- a/crates/galenapath-entry/src/control/plane.rs
+++ b/crates/galenapath-entry/src/control/plane.rs
@@ -70,9 +70,9 @@
             id: settings.instance.name.clone(),
             incarnation: shared.incarnation,
             domain: settings.instance.domain.clone(),
-            callers: shared.callers,
-            peers: wiring.peers,
-            beat: 0,
+            caller_address: shared.callers,
+            peer_address: wiring.peers,
+            status_version: 0,
             status: MemberStatus::Live,
         };
         let members = GossipMembership::new(GossipConfig::default(), shared.clock.now(), own);
--- a/crates/galenapath-entry/src/control/spread.rs
+++ b/crates/galenapath-entry/src/control/spread.rs
@@ -36,7 +36,7 @@
 async fn confirm(plane: Rc<ControlPlane>, peer: Member, version: Version) -> bool {
     let until_known = async {
         loop {
-            let _ = gossip::exchange(&plane, peer.peers, peer.incarnation).await;
+            let _ = gossip::exchange(&plane, peer.peer_address, peer.incarnation).await;
             if plane.peer_version(peer.incarnation) >= Some(version) {
                 return;
             }
--- a/crates/galenapath-entry/src/control/stop.rs
+++ b/crates/galenapath-entry/src/control/stop.rs
@@ -72,7 +72,7 @@
     let usable: Vec<_> = plane.members.borrow().usable().map(|m| m.incarnation).collect();
     let parts = HandOver::parts(outcomes, PART_BYTES);
     for successor in successors(own, &usable, SUCCESSORS) {
-        let to = plane.members.borrow().find(successor).map(|member| member.peers);
+        let to = plane.members.borrow().find(successor).map(|member| member.peer_address);
         let Some(to) = to else { continue };
         let mut taken = 0;
         for part in &parts {
--- a/crates/galenapath-entry/src/data/entries.rs
+++ b/crates/galenapath-entry/src/data/entries.rs
@@ -91,7 +91,7 @@
         .into_iter()
         .map(|member| EntryBody {
             key_prefix: filings.prefix_of(plane.now(), member.incarnation),
-            address: member.callers.to_string(),
+            address: member.caller_address.to_string(),
             domain: member.domain.0.to_string(),
             instance: member.id.0,
         })
--- a/crates/galenapath-entry/src/data/forward.rs
+++ b/crates/galenapath-entry/src/data/forward.rs
@@ -99,7 +99,7 @@
     member: &Member,
 ) -> Result<Reply, HttpError> {
     let timed_out = |_| HttpError::Io(std::io::ErrorKind::TimedOut.into());
-    let connect = TcpStream::connect(member.callers);
+    let connect = TcpStream::connect(member.caller_address);
     let io = monoio::time::timeout(CONNECT_LIMIT, connect).await.map_err(timed_out)??;
     let mut connection = Connection::new(io, HEAD_LIMIT);
     let left = Duration::from(meta.deadline - plane.now());
--- a/crates/galenapath-gateway/src/addresses.rs
+++ b/crates/galenapath-gateway/src/addresses.rs
@@ -46,10 +46,10 @@
     Reachable {
         name: &member.id.0,
         domain: &member.domain.0,
-        address: member.callers,
+        address: member.caller_address,
         rate: status.rate,
         capacity: status.capacity,
-        is_seed: seeds.iter().any(|seed| seed.ip() == member.peers.ip()),
+        is_seed: seeds.iter().any(|seed| seed.ip() == member.peer_address.ip()),
     }
 }
 
--- a/crates/galenapath-gateway/src/evacuation.rs
+++ b/crates/galenapath-gateway/src/evacuation.rs
@@ -33,14 +33,14 @@
                 evacuations.push(Evacuation { domain, revision: revision.0, is_in_force: true });
             }
         }
-        let changed = self.state.borrow_mut().evacuations.take_all(position, evacuations);
+        let changed = self.state.borrow_mut().evacuations.apply_snapshot(position, evacuations);
         changed.iter().for_each(|evacuation| self.log_evacuation_change(evacuation, Source::Store));
     }
 
     /// Applies the evacuations received from another instance, which has processed the store up to
     /// `position`.
     pub(crate) fn apply_evacuations(&self, evacuations: Vec<Evacuation>, position: u64) {
-        self.state.borrow_mut().evacuations.reached(position);
+        self.state.borrow_mut().evacuations.advance_position(position);
         for evacuation in evacuations {
             self.apply_evacuation(evacuation, Source::Peer);
         }
--- a/crates/galenapath-gateway/src/fleet/convert.rs
+++ b/crates/galenapath-gateway/src/fleet/convert.rs
@@ -34,7 +34,7 @@
         | bit(status.is_leaving, LEAVING)
         | bit(status.is_watching, WATCHING)
         | bit(status.serves_callers, SERVES_CALLERS)
-        | bit(status.crosses, CROSSES)
+        | bit(status.sends_cross_domain, CROSSES)
 }
 
 impl From<&Heartbeat> for BeatWire {
@@ -66,7 +66,7 @@
             store,
             is_watching: has(WATCHING),
             serves_callers: has(SERVES_CALLERS),
-            crosses: has(CROSSES),
+            sends_cross_domain: has(CROSSES),
             rate: wire.rate,
             capacity: wire.capacity,
             config_version: wire.config_version,
@@ -83,8 +83,8 @@
             name: member.id.0.clone(),
             incarnation: member.incarnation.0,
             domain: member.domain.0.to_string(),
-            callers: member.callers.to_string(),
-            peers: member.peers.to_string(),
+            callers: member.caller_address.to_string(),
+            peers: member.peer_address.to_string(),
         }
     }
 }
@@ -95,12 +95,12 @@
     fn try_from(wire: FleetMemberWire) -> Result<Self, String> {
         let address = |text: &str| text.parse().map_err(|e| format!("address `{text}`: {e}"));
         Ok(Self {
-            callers: address(&wire.callers)?,
-            peers: address(&wire.peers)?,
+            caller_address: address(&wire.callers)?,
+            peer_address: address(&wire.peers)?,
             id: InstanceId(wire.name),
             incarnation: Incarnation(wire.incarnation),
             domain: DomainId(wire.domain.into()),
-            beat: 0,
+            status_version: 0,
             status: MemberStatus::Live,
         })
     }
--- a/crates/galenapath-gateway/src/fleet/joining.rs
+++ b/crates/galenapath-gateway/src/fleet/joining.rs
@@ -58,7 +58,7 @@
 pub(crate) fn request_members(instance: &Instance, to: &[SocketAddr]) {
     let own = instance.member();
     let datagram = encode(&Datagram::Hello(own.clone()));
-    let others = to.iter().filter(|address| **address != own.peers);
+    let others = to.iter().filter(|address| **address != own.peer_address);
     others.for_each(|address| instance.send(*address, &datagram, Flow::Members));
 }
 
@@ -66,7 +66,8 @@
 pub(super) fn apply_members(instance: &Instance, members: Vec<Member>, from: SocketAddr) {
     let is_introduction = members.len() == 1;
     for member in members {
-        let (address, is_local) = (member.peers, member.domain == instance.settings().domain);
+        let (address, is_local) =
+            (member.peer_address, member.domain == instance.settings().domain);
         let incarnation = member.incarnation;
         let learned = learn(instance, member);
         if address == from {
--- a/crates/galenapath-gateway/src/fleet/pull.rs
+++ b/crates/galenapath-gateway/src/fleet/pull.rs
@@ -128,7 +128,7 @@
     let (local, remote): (Vec<&Peer>, Vec<&Peer>) =
         ahead.partition(|peer| peer.member.domain == *domain);
     let ahead = if local.is_empty() { remote } else { local };
-    (!ahead.is_empty()).then(|| ahead[rand::random_range(0..ahead.len())].member.peers)
+    (!ahead.is_empty()).then(|| ahead[rand::random_range(0..ahead.len())].member.peer_address)
 }
 
 /// Whether an instance has a newer configuration or server list than this one.
@@ -139,7 +139,8 @@
 async fn pull(instance: &Instance, from: SocketAddr) -> Result<Pulled> {
     exchange(instance, from, false).await?;
     let own = instance.status().config_version;
-    let is_newer = |peer: &Peer| peer.member.peers == from && peer.status.config_version > own;
+    let is_newer =
+        |peer: &Peer| peer.member.peer_address == from && peer.status.config_version > own;
     let wants_config = instance.membership.borrow().peers().any(is_newer);
     if wants_config { exchange(instance, from, true).await } else { Ok(Pulled::Applied) }
 }
--- a/crates/galenapath-gateway/src/fleet/tasks.rs
+++ b/crates/galenapath-gateway/src/fleet/tasks.rs
@@ -46,7 +46,7 @@
         let up = instance.membership.borrow().peers().filter(|peer| peer.is_up()).count();
         instance.metrics.peers.set(i64::try_from(up).unwrap_or(i64::MAX));
         instance.expire_servers();
-        if changes.iter().any(|change| change.is_own) {
+        if changes.iter().any(|change| change.is_detected_here) {
             announcements.begin(now);
         }
         let status = instance.status();
@@ -59,7 +59,8 @@
                 send_heartbeat(&instance, &to);
             }
             Audience::Targets => {
-                let due = instance.membership.borrow_mut().due(now, status.serves_callers);
+                let due =
+                    instance.membership.borrow_mut().heartbeats_due(now, status.serves_callers);
                 send_heartbeat(&instance, &due);
                 continue;
             }
@@ -71,12 +72,12 @@
 /// Changes found by other instances are logged by those as well, so they are subject to the line
 /// budget here.
 fn log_belief(instance: &Instance, change: &ReachabilityChange) {
-    if !change.is_own && !instance.may_log(LineKind::Peer) {
+    if !change.is_detected_here && !instance.may_log(LineKind::Peer) {
         return;
     }
     let silence_ms = change.silence.0 / 1_000;
     let peer = change.member.id.0.as_str();
-    let (is_up, is_own) = (change.is_up, change.is_own);
+    let (is_up, is_own) = (change.is_up, change.is_detected_here);
     log::info!(peer, is_up, is_own, silence_ms; "instance reachable or silent");
 }
 
@@ -123,8 +124,8 @@
         || last_sent.store != now.store
         || last_sent.is_watching != now.is_watching
         || last_sent.serves_callers != now.serves_callers;
-    let is_for_serving =
-        last_sent.crosses != now.crosses || is_rate_changed(last_sent.rate, now.rate);
+    let is_for_serving = last_sent.sends_cross_domain != now.sends_cross_domain
+        || is_rate_changed(last_sent.rate, now.rate);
     match (is_for_all, is_for_serving) {
         (true, _) => Audience::All,
         (false, true) => Audience::Serving,
@@ -141,14 +142,14 @@
 
 /// Sends a heartbeat to all other instances now.
 pub(crate) fn broadcast_heartbeat(instance: &Instance) {
-    let all = instance.membership.borrow().all();
+    let all = instance.membership.borrow().reachable_addresses();
     send_heartbeat(instance, &all);
 }
 
 /// Sends a heartbeat now to the instances that receive this one's periodic heartbeats, so that they
 /// learn where newer state is available.
 pub(super) fn notify_targets(instance: &Instance) {
-    let targets = instance.membership.borrow().targets();
+    let targets = instance.membership.borrow().target_addresses();
     send_heartbeat(instance, &targets);
 }
 
@@ -169,7 +170,7 @@
 /// Notifies all other instances that this one is about to exit.
 pub(crate) fn broadcast_end(instance: &Instance) {
     let datagram = encode(&Datagram::End(instance.incarnation));
-    let all = instance.membership.borrow().all();
+    let all = instance.membership.borrow().reachable_addresses();
     all.iter().for_each(|address| instance.send(*address, &datagram, Flow::Members));
 }
 
@@ -213,14 +214,14 @@
         Datagram::Notices(notices) => instance.take_notices(&notices),
         Datagram::End(incarnation) => {
             log::info!(incarnation:% = incarnation; "instance has ended");
-            instance.membership.borrow_mut().ended(incarnation);
+            instance.membership.borrow_mut().remove(incarnation);
         }
     }
 }
 
 fn handle_heartbeat(instance: &Rc<Instance>, heartbeat: &Heartbeat, from: SocketAddr) {
     let was_ready = instance.membership.borrow().is_ready(heartbeat.from);
-    let outcome = instance.membership.borrow_mut().hear(instance.now(), heartbeat);
+    let outcome = instance.membership.borrow_mut().apply_heartbeat(instance.now(), heartbeat);
     if !was_ready && instance.membership.borrow().is_ready(heartbeat.from) {
         instance.tell_newcomer(from);
     }
--- a/crates/galenapath-gateway/src/instance.rs
+++ b/crates/galenapath-gateway/src/instance.rs
@@ -168,9 +168,9 @@
             id: settings.name.clone(),
             incarnation: self.incarnation,
             domain: settings.domain.clone(),
-            callers: settings.listen.callers,
-            peers: settings.listen.peers,
-            beat: 0,
+            caller_address: settings.listen.callers,
+            peer_address: settings.listen.peers,
+            status_version: 0,
             status: MemberStatus::Live,
         }
     }
@@ -184,7 +184,7 @@
             store: self.store.get(),
             is_watching: self.is_watching.get(),
             serves_callers: self.now() - self.last_serving_at.get() < SERVING_HOLD,
-            crosses: self.cross_domain_sends.get().crosses(self.now()),
+            sends_cross_domain: self.cross_domain_sends.get().crosses(self.now()),
             rate: self.rate.get().per_second(self.now()),
             capacity: self.capacity(),
             config_version: state.table().version(),
@@ -271,14 +271,14 @@
 
     /// Selects the service for the next request of `route`.
     pub(crate) fn pick_service<'a>(&self, route: &'a Route) -> &'a str {
-        if let [only] = route.parts.as_slice() {
+        if let [only] = route.services.as_slice() {
             return &only.service;
         }
         let mut splits = self.splits.borrow_mut();
         let turn = splits
             .entry(route.name.clone())
-            .or_insert_with(|| WeightedRoundRobin::new(&route.parts, self.incarnation.0));
-        &route.parts[turn.next(&route.parts)].service
+            .or_insert_with(|| WeightedRoundRobin::new(&route.services, self.incarnation.0));
+        &route.services[turn.next(&route.services)].service
     }
 
     /// Returns the time by which the answer to a request should arrive. The request arrived at
--- a/crates/galenapath-gateway/src/notices.rs
+++ b/crates/galenapath-gateway/src/notices.rs
@@ -83,7 +83,7 @@
 
     /// Tells all instances what is news: stray requests come to any of them.
     pub(crate) fn tell(&self, notices: &Notices) {
-        let all = self.membership.borrow().all();
+        let all = self.membership.borrow().reachable_addresses();
         self.send_notices(notices, &all);
     }
 
@@ -96,7 +96,7 @@
         let to: Vec<SocketAddr> = {
             let beats = self.membership.borrow();
             let serving = beats.peers().filter(|p| p.is_up() && p.status.serves_callers);
-            serving.map(|peer| peer.member.peers).collect()
+            serving.map(|peer| peer.member.peer_address).collect()
         };
         self.send_notices(&notices, &to);
     }
--- a/crates/galenapath-gateway/src/probe.rs
+++ b/crates/galenapath-gateway/src/probe.rs
@@ -149,13 +149,13 @@
         .map(|peer| Prober {
             incarnation: peer.member.incarnation,
             domain: &peer.member.domain,
-            crosses: peer.status.crosses,
+            crosses: peer.status.sends_cross_domain,
         })
         .collect();
     probing.push(Prober {
         incarnation: instance.incarnation,
         domain: membership.domain(),
-        crosses: instance.status().crosses,
+        crosses: instance.status().sends_cross_domain,
     });
     probing
 }
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -331,7 +331,7 @@
 /// How the servers of a service warm up.
 fn warm_up(spec: &ServiceSpec) -> Option<WarmUp> {
     let warm_up = spec.warm_up?;
-    Some(WarmUp { lasts: warm_up.lasts.into(), per_second: warm_up.per_second })
+    Some(WarmUp { lasts: warm_up.duration.into(), per_second: warm_up.per_second })
 }
 
 /// The retries that an instance may send which serves `part` of all requests.
--- a/crates/galenapath-gateway/src/sharing.rs
+++ b/crates/galenapath-gateway/src/sharing.rs
@@ -223,7 +223,7 @@
         if notes.is_empty() {
             return;
         }
-        let all = self.membership.borrow().all();
+        let all = self.membership.borrow().reachable_addresses();
         for part in split(notes) {
             let datagram = fleet::encode(&fleet::Datagram::Loads(part));
             all.iter().for_each(|address| self.send(*address, &datagram, Flow::Loads));
@@ -235,9 +235,9 @@
         let membership = self.membership.borrow();
         let serving = membership.peers().filter(|p| p.is_up() && p.status.serves_callers);
         let recipient = |peer: &Peer| Recipient {
-            address: peer.member.peers,
+            address: peer.member.peer_address,
             domain: peer.member.domain.clone(),
-            is_cross_domain: peer.status.crosses,
+            is_cross_domain: peer.status.sends_cross_domain,
         };
         serving.map(recipient).collect()
     }
--- a/crates/galenapath-gateway/src/state.rs
+++ b/crates/galenapath-gateway/src/state.rs
@@ -168,8 +168,8 @@
         }
         {
             let mut state = self.state.borrow_mut();
-            state.directory.reached(position);
-            state.evacuations.reached(position);
+            state.directory.advance_position(position);
+            state.evacuations.advance_position(position);
         }
         self.log_list_changes(Source::Store);
         self.refresh_services();
@@ -237,7 +237,7 @@
         for Removal { revision, id } in unreadable {
             state.directory.apply(revision, Change::Removed(id), None);
         }
-        state.directory.take_list(position, list, gone_at);
+        state.directory.apply_list(position, list, gone_at);
         drop(state);
         self.log_list_changes(Source::Store);
         self.refresh_services();
--- a/crates/galenapath-membership/src/gossip_membership.rs
+++ b/crates/galenapath-membership/src/gossip_membership.rs
@@ -1,15 +1,16 @@
-//! The table of entry instances, with probing and gossip.
+//! The table of entry instances, maintained by probing and gossip.
 //!
-//! The platform's list lags, so an address answer built from it alone would send callers to
+//! The platform's list lags behind, so an address answer built from it alone would send callers to
 //! instances that died a minute ago. Each instance therefore probes one peer per interval, in a
-//! shuffled order that visits everyone; a missed probe makes a suspect, which is told to the others
-//! on later probes, and a suspect that stays silent is gone. A member that hears it is suspected
-//! raises its beat and says so. This is the SWIM protocol without its indirect probes: a cut that
-//! hides a member from some peers only is answered by the member's own refutation through others,
-//! for which the suspicion has to outlast two spreads of gossip.
+//! shuffled order that visits all. A peer that misses its probes becomes a suspect, which later
+//! probes report to the others, and a suspect that stays silent is gone. A member that learns that
+//! it is suspected raises its status version and reports itself live. This is the SWIM protocol
+//! without its indirect probes: when a network cut hides a member from some peers only, the
+//! member's refutation reaches them through others. The suspicion timeout therefore has to exceed
+//! the time of two rounds of gossip.
 //!
-//! Members that are gone are probed now and then, or regions that lost each other would not find
-//! each other again: both sides hold the other for gone, and nobody would speak against it.
+//! Members that are gone are still probed occasionally. Otherwise regions that were cut off from
+//! each other would not recover: each side considers the other gone, and no member would refute it.
 
 use crate::gossip_queue::GossipQueue;
 use crate::{GossipConfig, Member, MemberStatus};
@@ -19,24 +20,24 @@
 /// A probe to send to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Probe {
-    /// Peers' address to probe.
+    /// Peer address to probe.
     pub to: SocketAddr,
-    /// Incarnation expected there.
+    /// Incarnation expected at that address.
     pub incarnation: Incarnation,
 }
 
 /// One probe in this many goes to a member that is gone, if there is one.
 const GONE_PROBE_EVERY: u64 = 8;
 
-/// Times that news from the platform's list is told.
+/// How often an update from the platform's list is sent.
 const LISTED_SENDS: u32 = 1;
 
 #[derive(Clone, Debug)]
 struct Entry {
     member: Member,
-    /// When the status last changed; of a gone member, when news last called it anything else.
+    /// When the status last changed. For a gone member, when a peer last reported any other status.
     since: Micros,
-    /// Whether the last probe of a live member was missed and a second one is to follow.
+    /// Whether a live member missed its last probe and is to be probed a second time.
     has_missed_probe: bool,
     /// When a leaving member first missed a probe since it last answered.
     silent_since: Option<Micros>,
@@ -47,14 +48,14 @@
         Self { member, since: now, has_missed_probe: false, silent_since: None }
     }
 
-    /// Keeps a tombstone for as long as anyone speaks of the member as present.
+    /// Extends the life of a tombstone when a peer still reports the member as present.
     fn extend_tombstone(&mut self, now: Micros) {
         if self.member.status == MemberStatus::Gone {
             self.since = now;
         }
     }
 
-    /// Since when the member would have had to answer and did not.
+    /// Since when the member has been failing to answer.
     fn unresponsive_since(&self) -> Option<Micros> {
         match self.member.status {
             MemberStatus::Suspect => Some(self.since),
@@ -64,29 +65,29 @@
     }
 }
 
-/// All incarnations of entry instances known to one of them.
+/// All incarnations of entry instances that this instance knows.
 ///
 /// Invariants: the own incarnation is in the table and never `Gone` or `Suspect`; an entry is only
-/// replaced by newer news (see `Member::is_newer_than`).
+/// replaced by a newer one (see `Member::is_newer_than`).
 #[derive(Clone, Debug)]
 pub struct GossipMembership {
     cfg: GossipConfig,
     own: Incarnation,
     entries: FastMap<Incarnation, Entry>,
     gossip_queue: GossipQueue,
-    /// Peers still to be probed in this round, last first.
+    /// Peers still to be probed in this round; the next one is last.
     round: Vec<Incarnation>,
     round_number: u64,
-    /// Members that missed a probe and are probed again before they count as suspects.
+    /// Members that missed a probe and are probed again before they become suspects.
     second_probes: Vec<Incarnation>,
-    /// Probes sent so far.
+    /// Number of probes sent.
     probes: u64,
     next_probe: Micros,
     version: u64,
 }
 
 impl GossipMembership {
-    /// A table that knows only the instance itself.
+    /// Creates a table that contains only the instance itself.
     pub fn new(cfg: GossipConfig, now: Micros, own: Member) -> Self {
         let incarnation = own.incarnation;
         let mut members = Self {
@@ -110,7 +111,7 @@
         self.find(self.own)
     }
 
-    /// Changes with every change of the table; lets readers skip what they have seen.
+    /// Increases with every change of the table, so that readers can skip versions they have read.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -130,7 +131,8 @@
         self.entries.values().map(|entry| &entry.member)
     }
 
-    /// The probe that is due at `now`, if any; also ends suspicions and forgets the long gone.
+    /// The probe that is due at `now`, if any. Also ends expired suspicions and removes old
+    /// tombstones.
     pub fn tick(&mut self, now: Micros) -> Option<Probe> {
         self.end_suspicions(now);
         if now < self.next_probe {
@@ -139,7 +141,7 @@
         self.next_probe = now + self.cfg.probe_interval;
         let incarnation = self.next_to_probe()?;
         let member = self.find(incarnation)?;
-        Some(Probe { to: member.peers, incarnation })
+        Some(Probe { to: member.peer_address, incarnation })
     }
 
     /// When `tick` is due next.
@@ -147,25 +149,26 @@
         self.next_probe
     }
 
-    /// News to put into the next message to the peer `to`. The own entry goes first, then what is
-    /// thought of the peer itself, so that it can speak against a suspicion.
-    pub fn news(&mut self, to: Incarnation) -> Vec<Member> {
+    /// Updates to put into the next message to the peer `to`. The own entry goes first, then the
+    /// entry of the peer itself, so that it can refute a suspicion.
+    pub fn updates_for(&mut self, to: Incarnation) -> Vec<Member> {
         let mut about = self.gossip_queue.take(self.cfg.max_updates_per_message);
         about.retain(|&incarnation| incarnation != self.own && incarnation != to);
         about.splice(0..0, [self.own, to]);
         about.iter().filter_map(|&incarnation| self.find(incarnation).cloned()).collect()
     }
 
-    /// Takes in news from a peer or from the platform's list.
+    /// Merges updates from a peer or from the platform's list.
     pub fn merge(&mut self, now: Micros, news: &[Member]) {
         for member in news {
             self.merge_one(now, member);
         }
     }
 
-    /// Takes in the platform's list. Every instance reads it, so its news is told only once, for
-    /// those cut off from the platform; told like a rumor, the start of 64 instances would fill
-    /// every message for half a minute, and that of 400 for five.
+    /// Merges the platform's list. Every instance reads it, so its updates are sent only once, for
+    /// instances that are cut off from the platform. If they were sent as often as other updates,
+    /// the start of 64 instances would fill every message for half a minute, and that of 400 for
+    /// five minutes.
     pub fn learn(&mut self, now: Micros, list: &[Member]) {
         for member in list {
             let before = self.version;
@@ -176,10 +179,10 @@
         }
     }
 
-    /// A probe was answered by the incarnation it was sent to.
+    /// Records that the incarnation that was probed has answered.
     pub fn probe_answered(&mut self, now: Micros, incarnation: Incarnation) {
-        // Only the member itself may end a suspicion that others share, by raising its beat; its
-        // answer carries its own entry, which `merge` takes in.
+        // Only the member itself may end a suspicion that others share, by raising its status
+        // version. Its answer carries its own entry, which `merge` applies.
         let Some(entry) = self.entries.get_mut(&incarnation) else { return };
         entry.has_missed_probe = false;
         entry.silent_since = None;
@@ -188,8 +191,8 @@
         }
     }
 
-    /// A probe was not answered. A second miss in a row makes a suspect of a live member: single
-    /// messages are lost far more often than members.
+    /// Records that a probe was not answered. Only a second miss in a row makes a live member a
+    /// suspect, since single messages are lost far more often than members fail.
     pub fn probe_failed(&mut self, now: Micros, incarnation: Incarnation) {
         let Some(entry) = self.entries.get_mut(&incarnation) else { return };
         match entry.member.status {
@@ -205,14 +208,14 @@
         }
     }
 
-    /// Another incarnation answered at the member's address: the one asked for is gone.
-    pub fn replaced(&mut self, now: Micros, incarnation: Incarnation) {
+    /// Marks an incarnation as gone because another one answered at its address.
+    pub fn mark_replaced(&mut self, now: Micros, incarnation: Incarnation) {
         if incarnation != self.own {
             self.set_status(now, incarnation, MemberStatus::Gone);
         }
     }
 
-    /// The instance itself begins to leave.
+    /// Marks the instance itself as leaving.
     pub fn leave(&mut self, now: Micros) {
         self.update_own(now, MemberStatus::Leaving, 0);
     }
@@ -224,11 +227,12 @@
         }
         match self.entries.get_mut(&news.incarnation) {
             Some(known) if news.is_newer_than(&known.member) => self.store(now, news.clone()),
-            // Someone still holds the old news, so the tombstone is still needed.
+            // A peer still holds the old entry, so the tombstone is still needed.
             Some(known) if news.status != MemberStatus::Gone => known.extend_tombstone(now),
             Some(_) => {}
-            // News of a death that nobody here knew of as a life is not worth keeping. Kept, every
-            // newcomer would hold tombstones anew and tell those who had dropped them.
+            // An incarnation that was never known here as present needs no tombstone. If it were
+            // stored, every new instance would create tombstones anew and send them to instances
+            // that had already dropped them.
             None if news.status == MemberStatus::Gone => {}
             None => self.store(now, news.clone()),
         }
@@ -239,14 +243,14 @@
         let Some(own) = self.own() else { return };
         if news.is_newer_than(own) {
             let status = own.status;
-            self.update_own(now, status, news.beat);
+            self.update_own(now, status, news.status_version);
         }
     }
 
     fn update_own(&mut self, now: Micros, status: MemberStatus, above: u64) {
         let Some(own) = self.own() else { return };
         let mut member = own.clone();
-        member.beat = member.beat.max(above) + 1;
+        member.status_version = member.status_version.max(above) + 1;
         member.status = status;
         self.store(now, member);
     }
@@ -270,7 +274,7 @@
         self.gossip_queue.push(incarnation, self.cfg.sends_per_doubling * self.doublings());
     }
 
-    /// How often the number of members was doubled from one, rounded up.
+    /// The number of members as a power of two, rounded up to a whole exponent.
     fn doublings(&self) -> u32 {
         (usize::BITS - self.entries.len().leading_zeros()).max(1)
     }
@@ -324,8 +328,8 @@
         }
     }
 
-    /// Puts a new member at a random place of the round, or with hundreds of members nobody would
-    /// probe it for minutes.
+    /// Inserts a new member at a random place of the round. At the end of a round of hundreds of
+    /// members it would not be probed for minutes.
     fn add_to_round(&mut self, incarnation: Incarnation) {
         if incarnation == self.own {
             return;
@@ -336,7 +340,7 @@
         self.round.insert(usize::try_from(place).unwrap_or(0), incarnation);
     }
 
-    /// Shuffles the peers by a hash that differs per prober and round.
+    /// Shuffles the peers by a hash that differs per instance and round.
     fn start_round(&mut self) {
         self.round_number += 1;
         let seed = self.own.0 ^ self.round_number;
--- a/crates/galenapath-membership/src/gossip_queue.rs
+++ b/crates/galenapath-membership/src/gossip_queue.rs
@@ -1,8 +1,8 @@
-//! News that still has to be told to peers.
+//! Updates that still have to be sent to peers.
 
 use galenapath_protocol::Incarnation;
 
-/// News about members, each with the number of times it is still to be sent.
+/// Members whose updates are to be gossiped, each with its number of remaining sends.
 ///
 /// Invariant: an incarnation occurs at most once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -17,13 +17,15 @@
 }
 
 impl GossipQueue {
-    /// Queues news about a member, to be sent `times` times; replaces older news of it.
+    /// Queues an update about a member, to be sent `times` times. Replaces an older update about
+    /// it.
     pub(crate) fn push(&mut self, about: Incarnation, times: u32) {
         self.pending.retain(|update| update.about != about);
         self.pending.insert(0, QueuedUpdate { about, left: times });
     }
 
-    /// Takes up to `most` members to tell of, those told least often first, of those the newest.
+    /// Takes up to `max` members to send updates about: those with the most remaining sends first,
+    /// and among these the newest.
     pub(crate) fn take(&mut self, max: usize) -> Vec<Incarnation> {
         self.pending.sort_by_key(|update| std::cmp::Reverse(update.left));
         let sent = self.pending.iter_mut().take(max);
--- a/crates/galenapath-membership/src/heartbeat_config.rs
+++ b/crates/galenapath-membership/src/heartbeat_config.rs
@@ -5,43 +5,45 @@
 /// Thresholds of heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeartbeatConfig {
-    /// Time between two heartbeats.
+    /// Time between two heartbeats to the same target.
     pub period: Micros,
-    /// Silence after which an instance is no longer given to callers: three heartbeats in a row, which a link that
-    /// loses packets hardly ever loses together.
+    /// Silence after which an instance is no longer given to callers. It spans three consecutive
+    /// heartbeats, which even a lossy link hardly ever loses together.
     pub silent_after: Micros,
-    /// Instances up to which everybody sends heartbeats to everybody.
+    /// Number of instances up to which every instance sends heartbeats to all others.
     pub full_mesh_limit: usize,
-    /// Instances that one sends heartbeats to in a larger fleet. An instance is taken out when two of
-    /// those that hear it find it silent.
+    /// Number of instances that each one sends heartbeats to in a larger fleet. An instance is
+    /// considered down when two of those that monitor it report it as silent.
     pub fan_out: usize,
-    /// Of these, those of other failure domains: as many as it takes to miss a domain that is lost whole.
+    /// How many of these are in other failure domains, so that the loss of a whole domain is
+    /// detected from outside.
     pub fan_out_remote: usize,
-    /// Time between two heartbeats of an instance that serves callers to the others of its failure
-    /// domain, which tell callers how many instances it takes to carry the load.
+    /// Time between two heartbeats that an instance serving callers sends to the other instances of
+    /// its failure domain. They use its load to work out how many instances to give to callers.
     pub local_period: Micros,
-    /// Time between two heartbeats to an instance that is silent, from those that hear it or that it
-    /// hears, so that it is found again. From everybody, the cost would grow with the square of a fleet that is cut
-    /// in two.
+    /// Time between two heartbeats to a silent instance, so that it is found again. Only instances
+    /// that monitor it or that it monitors send them: if all did, the cost would grow with the
+    /// square of a fleet that is cut in two.
     pub silent_period: Micros,
-    /// Silence after which an instance is forgotten.
+    /// Silence after which an instance is removed.
     pub forget_after: Micros,
-    /// Accusers without whom an instance that is not monitored itself stays believed in.
+    /// Number of accusers needed to consider an instance down that this one does not monitor.
     pub required_accusers: usize,
-    /// Time for which the digests of all heartbeats heard may be other than the own one before the
-    /// sender of one is asked whom it knows: a start or an end is known to all much sooner.
+    /// Time for which the digests of all received heartbeats may differ from the own one before a
+    /// sender is asked for its members. All instances learn of a start or a stop much sooner.
     pub settle_time: Micros,
-    /// Least time between two such questions; an answer has 60 bytes for each instance.
+    /// Minimum time between two such requests. An answer has 60 bytes for each instance.
     pub min_sync_interval: Micros,
-    /// Time for which each heartbeat of one instance has to differ before it is asked although others
-    /// agree: two groups that each agree among themselves would else stay apart. Longer than a series of restarts lets two instances differ without a break.
+    /// Time for which all heartbeats of one instance may differ before it is asked for its members
+    /// even though others agree. Otherwise two groups that each agree internally would stay apart.
+    /// Longer than a series of restarts makes two instances differ without interruption.
     pub max_peer_difference: Micros,
-    /// Least time between two questions of that kind.
+    /// Minimum time between two requests of that kind.
     pub min_peer_sync_interval: Micros,
     /// How long an accusation counts.
     pub accusation_ttl: Micros,
-    /// Gap between two calls of `tick` after which the instance was itself asleep, so that the
-    /// silence of the others says nothing.
+    /// Gap between two calls of `tick` above which this instance itself was suspended, so that the
+    /// silence of the others proves nothing.
     pub max_tick_gap: Micros,
 }
 
--- a/crates/galenapath-membership/src/heartbeat_membership.rs
+++ b/crates/galenapath-membership/src/heartbeat_membership.rs
@@ -1,20 +1,28 @@
-//! Which entry instances are there, by heartbeats that each sends to a bounded number of others.
+//! Detects which entry instances are available, from heartbeats that each sends to a bounded number
+//! of others.
 //!
-//! Load pattern: an address answer that names a dead instance costs each of its callers a second
-//! of connecting, and callers wait little longer than that. A death has to be known everywhere in
-//! about a second, at a cost for each instance that does not grow with the fleet, and without
-//! taking out an instance that is merely slow or an observer that is itself cut off.
+//! Load pattern: an address answer that contains a dead instance costs each of its callers a second
+//! of connecting, and callers wait little longer than that. A death has to be known on all
+//! instances in about a second, at a cost per instance that does not grow with the fleet. Instances
+//! that are merely slow must not be removed, nor may an observer that is itself cut off remove
+//! others.
 //!
-//! Every instance sends heartbeats to some instances that follow it in the order of incarnations, most
-//! of them of its own failure domain, since bytes between domains are billed, and some of others, so that
-//! a domain that is lost as a whole is missed; in a small fleet these are all. Who hears nothing for
-//! [`BeatConfig::silent_after`] takes the sender out of its own answers and tells all; an instance that
-//! does not monitor the sender believes two observers, not one, until it hears the sender itself. Who
-//! hears nobody any more doubts itself and accuses no one, and who hears itself accused speaks up.
+//! Every instance sends heartbeats to some instances that follow it in the order of incarnations.
+//! Most of them are in its own failure domain, since traffic between domains is billed; some are in
+//! others, so that the loss of a whole domain is detected. In a small fleet all others are targets.
 //!
-//! The order is the same for all only while all know the same instances: who does not know a new one
-//! waits for heartbeats that go to the new one instead, and accuses the living. So a heartbeat carries a
-//! digest of the instances that its sender believes in, and who finds another one for long asks.
+//! An instance that receives no heartbeat for [`HeartbeatConfig::silent_after`] removes the sender
+//! from its own answers and reports it to all others. An instance that does not monitor the sender
+//! considers it down once two observers report it, not one, until it receives a heartbeat from the
+//! sender itself. An instance that finds most of its monitored peers silent concludes that it is
+//! cut off and accuses none. An instance that learns that it is accused sends heartbeats to all
+//! others.
+//!
+//! The order is the same on all instances only while they know the same members. An instance that
+//! does not know a new one expects heartbeats that now go to the new one, and accuses instances
+//! that are up. Each heartbeat therefore carries a digest of the instances that its sender
+//! considers up, and an instance that receives a different digest for too long asks for the
+//! sender's members.
 
 use crate::{
     Heartbeat, HeartbeatConfig, HeartbeatOutcome, LearnOutcome, Member, Peer, ReachabilityChange,
@@ -23,35 +31,36 @@
 use galenapath_protocol::{DomainId, FastMap, FastSet, Incarnation, Micros};
 use std::net::SocketAddr;
 
-/// The other instances as one of them knows them.
+/// The other instances as this one knows them from heartbeats.
 #[derive(Debug)]
 pub struct HeartbeatMembership {
     cfg: HeartbeatConfig,
     own: Incarnation,
     domain: DomainId,
     peers: FastMap<Incarnation, Peer>,
-    /// Those that send their heartbeats here.
+    /// Instances that send their heartbeats to this one.
     ///
-    /// Invariant: this and `targets` follow from `peers` unless `is_rearranged` is false.
+    /// Invariant: this and `targets` follow from `peers` unless `are_targets_current` is false.
     monitored: FastSet<Incarnation>,
-    /// Those that this instance sends its heartbeats to.
+    /// Instances that this one sends its heartbeats to.
     targets: FastSet<Incarnation>,
-    /// Whether `monitored` and `targets` are those of the present `peers`. They are worked out once for
-    /// all changes between two looks: hundreds of instances join within a moment.
+    /// Whether `monitored` and `targets` match the present `peers`. They are computed once for all
+    /// changes since the last use, because hundreds of instances may join at the same moment.
     are_targets_current: bool,
-    /// Addresses of those of the own failure domain.
+    /// Addresses of the instances in the own failure domain.
     local_addresses: FastSet<SocketAddr>,
     ticked_at: Micros,
-    /// When a heartbeat last told of the same instances as this one believes in.
+    /// When a heartbeat last had the same digest as this instance.
     agreed_at: Micros,
-    /// When another instance was last asked because they differ.
+    /// When another instance was last asked for its members because its digest differed.
     synced_at: Micros,
-    /// Whether most of those who should send heartbeats are silent, so that the fault is here.
+    /// Whether most of the monitored instances are silent, which means that this instance is cut
+    /// off.
     is_isolated: bool,
 }
 
 impl HeartbeatMembership {
-    /// Nobody is known yet.
+    /// Creates a view without any other instance.
     pub fn new(cfg: HeartbeatConfig, own: Incarnation, domain: DomainId, now: Micros) -> Self {
         Self {
             cfg,
@@ -74,17 +83,17 @@
         &self.domain
     }
 
-    /// The other instances, also those that are silent.
+    /// The other instances, including silent ones.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values()
     }
 
-    /// Whether no other instance answers.
+    /// Whether no other instance is reachable.
     pub fn is_alone(&self) -> bool {
         !self.peers.values().any(Peer::is_up)
     }
 
-    /// Takes in who an instance is. A new run replaces an older one at the same address.
+    /// Adds an instance. A new incarnation replaces an older one at the same address.
     pub fn learn(&mut self, now: Micros, member: Member) -> LearnOutcome {
         if member.incarnation == self.own {
             return LearnOutcome::Known;
@@ -92,11 +101,11 @@
         if let Some(peer) = self.peers.get(&member.incarnation) {
             return if peer.is_up { LearnOutcome::Known } else { LearnOutcome::KnownDown };
         }
-        self.peers.retain(|_, peer| peer.member.peers != member.peers);
+        self.peers.retain(|_, peer| peer.member.peer_address != member.peer_address);
         if member.domain == self.domain {
-            self.local_addresses.insert(member.peers);
+            self.local_addresses.insert(member.peer_address);
         } else {
-            self.local_addresses.remove(&member.peers);
+            self.local_addresses.remove(&member.peer_address);
         }
         let peer = Peer::new(now, member);
         self.peers.insert(peer.member.incarnation, peer);
@@ -104,7 +113,7 @@
         LearnOutcome::New
     }
 
-    /// An instance has said who it is, so that it is there, whatever others say.
+    /// Records a message from an instance, which shows that it is up, whatever others report.
     pub fn record_contact(&mut self, now: Micros, incarnation: Incarnation) {
         if let Some(peer) = self.peers.get_mut(&incarnation) {
             peer.record_contact(now);
@@ -116,8 +125,8 @@
         self.peers.get(&incarnation).is_some_and(|peer| peer.status.is_ready)
     }
 
-    /// Takes in a heartbeat.
-    pub fn hear(&mut self, now: Micros, heartbeat: &Heartbeat) -> HeartbeatOutcome {
+    /// Applies a received heartbeat.
+    pub fn apply_heartbeat(&mut self, now: Micros, heartbeat: &Heartbeat) -> HeartbeatOutcome {
         for accused in &heartbeat.accused {
             if let Some(peer) = self.peers.get_mut(accused) {
                 peer.accusers.insert(heartbeat.from, now);
@@ -157,20 +166,20 @@
         HeartbeatOutcome::ViewDiffers
     }
 
-    /// Digest of the instances that are believed to answer, this one included. Incarnations are random
-    /// numbers, so that their exclusive or tells sets apart.
+    /// Digest of the instances that are considered up, this one included. Incarnations are random
+    /// numbers, so their exclusive or identifies the set.
     pub fn digest(&self) -> u64 {
         let up = self.peers.values().filter(|peer| peer.is_up);
         up.fold(self.own.0, |digest, peer| digest ^ peer.member.incarnation.0)
     }
 
-    /// An instance has said that it ends.
-    pub fn ended(&mut self, incarnation: Incarnation) {
+    /// Removes an instance that has reported its end.
+    pub fn remove(&mut self, incarnation: Incarnation) {
         self.peers.remove(&incarnation);
         self.are_targets_current = false;
     }
 
-    /// Looks at who has become silent or is heard again. Returns what changed.
+    /// Checks which instances have become silent or reachable again. Returns the changes.
     pub fn tick(&mut self, now: Micros) -> Vec<ReachabilityChange> {
         let pause = now - self.ticked_at;
         self.ticked_at = now;
@@ -197,7 +206,8 @@
             let is_up = if is_own {
                 silence <= self.cfg.silent_after
             } else {
-                // An accusation is told once and forgotten; what it led to holds until the instance is heard.
+                // Accusations are sent once and expire. The instance stays down until it is heard
+                // from.
                 !peer.awaits_contact && peer.accusers.len() < self.cfg.required_accusers
             };
             if is_up != peer.is_up {
@@ -207,25 +217,26 @@
                     member: peer.member.clone(),
                     is_up,
                     silence,
-                    is_own,
+                    is_detected_here: is_own,
                 });
             }
         }
         changes
     }
 
-    /// Whether this instance hears so few of the others that it must be cut off itself.
+    /// Whether so many monitored instances are silent that this one must be cut off itself.
     pub fn is_isolated(&self) -> bool {
         self.is_isolated
     }
 
-    /// Longest silence of an instance that sends its heartbeats here and is believed to answer.
+    /// Longest silence among the monitored instances that are considered up.
     pub fn longest_silence(&self, now: Micros) -> Micros {
         let monitored = self.peers.iter().filter(|(id, p)| p.is_up && self.monitored.contains(*id));
         monitored.map(|(_, peer)| now - peer.last_heard_at).max().unwrap_or(Micros::ZERO)
     }
 
-    /// Instances that this one finds silent, to be told with its heartbeats.
+    /// Monitored instances that are silent, to be reported in heartbeats. Empty while this instance
+    /// is isolated.
     pub fn accused(&self) -> Vec<Incarnation> {
         if self.is_isolated {
             return Vec::new();
@@ -235,8 +246,9 @@
         silent.map(|(id, _)| *id).collect()
     }
 
-    /// Addresses that a heartbeat is due to now; more of them for an instance that serves callers.
-    pub fn due(&mut self, now: Micros, serves_callers: bool) -> Vec<SocketAddr> {
+    /// Addresses that a heartbeat is due to now; each is recorded as sent. An instance that serves
+    /// callers also sends to its whole failure domain.
+    pub fn heartbeats_due(&mut self, now: Micros, serves_callers: bool) -> Vec<SocketAddr> {
         self.update_targets();
         let cfg = &self.cfg;
         let mut due = Vec::new();
@@ -249,39 +261,39 @@
                 false if is_target || self.monitored.contains(id) => cfg.silent_period,
                 _ => continue,
             };
-            // Half a millisecond makes up for timers that fire early or late.
+            // Tolerates timers that fire half a millisecond early or late.
             if now + Micros(500) >= peer.last_sent_at + pause {
                 peer.last_sent_at = now;
-                due.push(peer.member.peers);
+                due.push(peer.member.peer_address);
             }
         }
         due
     }
 
-    /// Addresses of all others that answer, for news that cannot wait.
-    pub fn all(&self) -> Vec<SocketAddr> {
-        self.peers.values().filter(|peer| peer.is_up).map(|peer| peer.member.peers).collect()
+    /// Addresses of all others that are considered up, for urgent updates.
+    pub fn reachable_addresses(&self) -> Vec<SocketAddr> {
+        self.peers.values().filter(|peer| peer.is_up).map(|peer| peer.member.peer_address).collect()
     }
 
-    /// Addresses of all others, also of those that are silent: whoever takes this instance for gone may be
-    /// one that this instance has lost as well.
+    /// Addresses of all others, including silent ones: an instance that considers this one down may
+    /// itself be considered down here.
     pub fn all_addresses(&self) -> Vec<SocketAddr> {
-        self.peers.values().map(|peer| peer.member.peers).collect()
+        self.peers.values().map(|peer| peer.member.peer_address).collect()
     }
 
-    /// Addresses of those that answer of the own failure domain and of those that serve callers in others,
-    /// for what only they use.
+    /// Addresses of reachable instances that are in the own failure domain or serve callers, for
+    /// updates that only these use.
     pub fn local_and_serving_addresses(&self) -> Vec<SocketAddr> {
         let is_recipient = |peer: &&Peer| {
             peer.is_up && (peer.member.domain == self.domain || peer.status.serves_callers)
         };
-        self.peers.values().filter(is_recipient).map(|peer| peer.member.peers).collect()
+        self.peers.values().filter(is_recipient).map(|peer| peer.member.peer_address).collect()
     }
 
-    /// Addresses of those that get this instance's heartbeats.
-    pub fn targets(&self) -> Vec<SocketAddr> {
+    /// Addresses of the reachable targets of heartbeats.
+    pub fn target_addresses(&self) -> Vec<SocketAddr> {
         let targets = self.peers.iter().filter(|(id, p)| p.is_up && self.targets.contains(*id));
-        targets.map(|(_, peer)| peer.member.peers).collect()
+        targets.map(|(_, peer)| peer.member.peer_address).collect()
     }
 
     /// Whether an instance of the own failure domain has this address.
@@ -289,7 +301,7 @@
         self.local_addresses.contains(address)
     }
 
-    /// Works out anew who monitors whom, where the instances have changed.
+    /// Recomputes the monitored instances and targets if the instances have changed.
     fn update_targets(&mut self) {
         if std::mem::replace(&mut self.are_targets_current, true) {
             return;
--- a/crates/galenapath-membership/src/instance_status.rs
+++ b/crates/galenapath-membership/src/instance_status.rs
@@ -1,11 +1,11 @@
-//! What an instance tells of itself with its heartbeats.
+//! Heartbeats and the status that an instance reports in them.
 
 use galenapath_protocol::Incarnation;
 
-/// How the platform's store answers an instance.
+/// Whether the platform's store answers an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum StoreHealth {
-    /// The instance has not tried it lately.
+    /// The instance has not called it since its start, or since its last failure expired.
     #[default]
     Untried,
     /// The last call was answered.
@@ -14,54 +14,53 @@
     Failing,
 }
 
-/// What an instance tells of itself with each heartbeat.
+/// The status that an instance reports of itself with each heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InstanceStatus {
     /// Whether it can serve requests.
     pub is_ready: bool,
     /// Whether a planned stop has begun.
     pub is_leaving: bool,
-    /// How the store answers it.
+    /// Whether the store answers it.
     pub store: StoreHealth,
     /// Whether it watches the store for the others.
     pub is_watching: bool,
-    /// Whether callers have sent it requests lately.
+    /// Whether callers send it requests, or did so within a short hold time.
     pub serves_callers: bool,
-    /// Whether it sends a good part of its requests to servers of other failure domains.
-    pub crosses: bool,
-    /// Requests a second that callers send it.
+    /// Whether it sends a considerable share of its requests to servers in other failure domains.
+    pub sends_cross_domain: bool,
+    /// Requests per second that callers send to it.
     pub rate: u32,
-    /// Requests a second that it can take with ease.
+    /// Requests per second that it can handle without being overloaded.
     pub capacity: u32,
     /// Version of its configuration.
     pub config_version: u64,
-    /// Position of its list of backend servers.
+    /// Store position of its list of backend servers.
     pub position: u64,
 }
 
 /// A heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Who sends it.
+    /// The instance that sends it.
     pub from: Incarnation,
-    /// What it tells of itself.
+    /// Status of the sender.
     pub status: InstanceStatus,
-    /// Instances that it finds silent.
+    /// Instances that the sender monitors and considers silent.
     pub accused: Vec<Incarnation>,
-    /// Digest of the instances that it believes in, itself included.
+    /// Digest of the instances that the sender considers up, itself included.
     pub digest: u64,
 }
 
-/// What hearing a heartbeat says about its sender.
+/// What the receiver of a heartbeat has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// It is known.
+    /// Nothing: the sender is known.
     Known,
-    /// Nothing but its incarnation is known; it has to be asked.
+    /// Ask the sender for its members: only its incarnation is known.
     UnknownSender,
-    /// It is known and accuses this instance of being silent, which has to tell all that it is not.
+    /// Refute the accusation: the sender reports this instance as silent.
     AccusesUs,
-    /// It is known, and for some time nobody heard has believed in the same instances as this one: it
-    /// has to be asked.
+    /// Ask the sender for its members: its digest has differed for too long.
     ViewDiffers,
 }
--- a/crates/galenapath-membership/src/leaving.rs
+++ b/crates/galenapath-membership/src/leaving.rs
@@ -1,13 +1,13 @@
-//! Which backend servers are leaving, whoever said so first.
+//! Which backend servers are leaving, as reported by the servers or by peers.
 //!
-//! The platform's list lags, so it may show a server as live long after the server itself, or a
-//! peer, has said that it leaves. A mark is therefore never taken back by the list. It names one
-//! run of the server by its start time, so that a server which comes back is used again.
+//! The platform's list lags behind, so it may show a server as live long after the server itself or
+//! a peer has reported that it is leaving. The list therefore never removes a mark. A mark names
+//! one run of the server by its start time, so that a server that starts again is used again.
 
 use galenapath_protocol::{BackendId, FastMap, Micros};
 
-/// Most marks kept; the oldest go first. Far above the number of servers that leave within
-/// `KEEP` at the largest size designed for (440 replacements a day).
+/// Maximum number of marks; the oldest are removed first. Far above the number of servers that
+/// leave within `MARK_TTL` at the largest size designed for (440 replacements a day).
 const MAX_MARKS: usize = 4_096;
 
 /// How long a mark is kept; longer than any lag of the platform's list.
@@ -35,7 +35,7 @@
 }
 
 impl LeavingMarks {
-    /// Takes in a mark; returns whether it was new, and so worth telling peers.
+    /// Records a mark. Returns whether it was new and has to be sent to peers.
     pub fn mark(&mut self, now: Micros, mark: &LeavingMark) -> bool {
         if self.is_leaving(&mark.backend, mark.started) {
             return false;
--- a/crates/galenapath-membership/src/member.rs
+++ b/crates/galenapath-membership/src/member.rs
@@ -3,43 +3,43 @@
 use galenapath_protocol::{DomainId, Incarnation, InstanceId};
 use std::net::SocketAddr;
 
-/// What is known of a member, from the least to the most final.
+/// Status of a member. A later variant overrides an earlier one at the same status version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberStatus {
-    /// Answers probes, or was never found wanting.
+    /// Answers probes, or has not missed two in a row.
     Live,
-    /// Missed a probe; still used until the suspicion ends.
+    /// Missed its probes; still used until the suspicion timeout.
     Suspect,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its running requests and accepts no new ones.
     Leaving,
-    /// Stopped, or silent for longer than the suspicion.
+    /// Stopped, or silent for longer than the suspicion timeout.
     Gone,
 }
 
 /// One incarnation of an entry instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    /// Name from its settings.
+    /// Name from the instance's settings.
     pub id: InstanceId,
-    /// This run of it; the identity of the member.
+    /// Incarnation of the instance; the identity of the member.
     pub incarnation: Incarnation,
-    /// Failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainId,
-    /// Address for callers' requests.
-    pub callers: SocketAddr,
-    /// Address for peers.
-    pub peers: SocketAddr,
-    /// Counts up whenever the member itself speaks against what is said of it. Only the member
-    /// raises it, so news with a higher beat is newer.
-    pub beat: u64,
-    /// Status at that beat.
+    /// Address for requests from callers.
+    pub caller_address: SocketAddr,
+    /// Address for messages from peers.
+    pub peer_address: SocketAddr,
+    /// Raised by the member whenever it refutes or changes the status that others know. Only the
+    /// member raises it, so an entry with a higher version is newer.
+    pub status_version: u64,
+    /// Status at that version.
     pub status: MemberStatus,
 }
 
 impl Member {
-    /// Whether `self` says something newer than `other` about the same incarnation.
+    /// Whether `self` is a newer entry than `other` about the same incarnation.
     pub fn is_newer_than(&self, other: &Self) -> bool {
-        (self.beat, self.status) > (other.beat, other.status)
+        (self.status_version, self.status) > (other.status_version, other.status)
     }
 
     /// Whether requests may be sent to the member.
--- a/crates/galenapath-membership/src/peer.rs
+++ b/crates/galenapath-membership/src/peer.rs
@@ -1,29 +1,31 @@
-//! Another instance as one knows it.
+//! Another instance as one knows it from heartbeats.
 
 use crate::{InstanceStatus, Member, MemberStatus};
 use galenapath_protocol::{FastMap, Incarnation, Micros};
 
-/// A change of what is believed of another instance.
+/// A change of whether another instance is considered up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReachabilityChange {
     /// The instance.
     pub member: Member,
-    /// Whether it is believed to answer now.
+    /// Whether it is considered up now.
     pub is_up: bool,
-    /// Silence that led to it.
+    /// How long it had been silent.
     pub silence: Micros,
-    /// Whether this instance found that itself and the others have to be told.
-    pub is_own: bool,
+    /// Whether this instance detected the change itself, so that it has to be reported to the
+    /// others.
+    pub is_detected_here: bool,
 }
 
-/// What learning of an instance says about it.
+/// Result of learning about an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LearnOutcome {
-    /// It is new.
+    /// It was unknown.
     New,
-    /// It is known.
+    /// It is known and considered up.
     Known,
-    /// It is known and taken for gone: whoever tells of it knows better, or does not know it yet.
+    /// It is known and considered down. The sender of the information has newer information or has
+    /// not learned of the failure yet.
     KnownDown,
 }
 
@@ -32,21 +34,21 @@
 pub struct Peer {
     /// Who it is.
     pub member: Member,
-    /// What it last told.
+    /// Status that it last reported.
     pub status: InstanceStatus,
     pub(crate) last_heard_at: Micros,
     pub(crate) last_sent_at: Micros,
     pub(crate) is_up: bool,
-    /// Whether it was taken for gone and has not been heard since.
+    /// Whether it is considered down and has not been heard from since.
     pub(crate) awaits_contact: bool,
-    /// Since when each of its heartbeats has told of other instances than this one believes in.
+    /// Since when each of its heartbeats has had another digest than this instance.
     pub(crate) differs_since: Option<Micros>,
-    /// Who finds it silent, and since when.
+    /// Instances that report it as silent, with the time of their last report.
     pub(crate) accusers: FastMap<Incarnation, Micros>,
 }
 
 impl Peer {
-    /// An instance that has just been heard of.
+    /// Creates the entry of an instance that has just become known.
     pub(crate) fn new(now: Micros, member: Member) -> Self {
         Self {
             status: InstanceStatus::default(),
@@ -60,19 +62,19 @@
         }
     }
 
-    /// Whether it is believed to answer.
+    /// Whether it is considered up.
     pub fn is_up(&self) -> bool {
         self.is_up
     }
 
-    /// It has been heard itself.
+    /// Records a message from the instance itself.
     pub(crate) fn record_contact(&mut self, now: Micros) {
         self.last_heard_at = now;
         self.accusers.clear();
         self.awaits_contact = false;
     }
 
-    /// Whether callers may be sent to it.
+    /// Whether it may be given to callers.
     pub fn is_usable(&self) -> bool {
         self.is_up && self.status.is_ready && !self.status.is_leaving
     }
--- a/crates/galenapath-membership/src/ring.rs
+++ b/crates/galenapath-membership/src/ring.rs
@@ -1,11 +1,11 @@
-//! Who sends heartbeats to whom.
+//! Assigns the targets of heartbeats.
 
 use crate::HeartbeatConfig;
 use galenapath_protocol::{DomainId, Incarnation};
 
-/// Those that get the heartbeats of the instance at `at` of `ring`, the instances in order: the next
-/// ones of its own failure domain and the next ones of others, or all where they are few. Where one side
-/// has too few, the other makes up for it.
+/// Targets of the heartbeats of the instance at index `at` of `ring`, which holds all instances in
+/// order: the next ones of its own failure domain and the next ones of others, or all if there are
+/// few. If one group has too few, the other fills up.
 pub(crate) fn heartbeat_targets(
     cfg: &HeartbeatConfig,
     ring: &[(Incarnation, &DomainId)],
--- a/crates/galenapath-membership/src/tracked_list.rs
+++ b/crates/galenapath-membership/src/tracked_list.rs
@@ -1,32 +1,34 @@
-//! A list that the platform keeps, with the changes that led to it.
+//! A list that the platform keeps, with its recent changes.
 //!
-//! Load pattern: a list of thousands of backend servers of which a few are replaced each minute.
-//! With every instance reading the whole list at each change, the calls on the store grow with the
-//! fleet and each instance takes in megabytes for one server. Few instances watch the list; the
-//! others ask a peer that is ahead for the changes between its position and theirs.
+//! Load pattern: a list of thousands of backend servers, a few of which are replaced each minute.
+//! If every instance read the whole list at each change, the calls on the store would grow with the
+//! fleet, and each instance would receive megabytes for the change of one server. Only a few
+//! instances watch the list; the others ask a peer that is ahead for the changes between the two
+//! positions.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes remembered. A peer that is further behind gets the whole list. At 440 replacements a
-/// day with three changes each this is more than a day's.
+/// Number of changes kept. A peer that is further behind gets the whole list. At 440 replacements a
+/// day with three changes each, this covers more than a day.
 const MAX_CHANGES: usize = 2_048;
 
-/// A list at some position of the platform's store, and the changes before it.
+/// A list at a position of the platform's store, with the changes before it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrackedList<T> {
     /// Position in the store; zero before the first list.
     position: u64,
     entries: BTreeMap<String, T>,
-    /// The last changes, oldest first; their positions never fall.
+    /// The last changes, oldest first. Positions never decrease.
     changes: VecDeque<Change>,
-    /// Positions that this list has been at, oldest first; `changes` is complete from the first on.
+    /// Positions that this list has been at, oldest first. `changes` is complete from the first one
+    /// on.
     ///
-    /// A peer at any other position may hold an entry that was changed and changed back between
-    /// two of these, of which nothing is known here.
+    /// A peer at any other position may hold an entry that was changed and changed back between two
+    /// of these, which is not recorded here.
     known_positions: VecDeque<u64>,
 }
 
-/// One entry that was put in or taken out.
+/// One entry that was added, changed or removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Change {
     /// Position of the first list that had the change.
@@ -34,16 +36,16 @@
     id: String,
 }
 
-/// What makes the list at `from` the list at `to`.
+/// The changes that turn the list at `from` into the list at `to`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListDelta<T> {
-    /// Position that the delta applies to; zero for any, since it holds the whole list then.
+    /// Position that the delta applies to. Zero if it holds the whole list and applies to any.
     pub from: u64,
-    /// Position after it.
+    /// Position after the delta.
     pub to: u64,
-    /// Entries to put in.
+    /// Entries that were added or changed.
     pub put: BTreeMap<String, T>,
-    /// Entries to take out.
+    /// Entries that were removed.
     pub removed: Vec<String>,
 }
 
@@ -69,11 +71,11 @@
         self.entries.values()
     }
 
-    /// Takes in the whole list as the platform gave it; returns whether anything changed.
+    /// Applies the whole list as the platform returned it. Returns whether anything changed.
     ///
-    /// A position below the own one means that the store was set back. The list is taken then too,
-    /// and the changes before it are forgotten.
-    pub fn take_list(&mut self, position: u64, list: BTreeMap<String, T>) -> bool {
+    /// A position below the current one means that the store was reset. The list is applied then
+    /// too, and the changes before it are discarded.
+    pub fn apply_list(&mut self, position: u64, list: BTreeMap<String, T>) -> bool {
         if position < self.position {
             self.changes.clear();
             self.known_positions.clear();
@@ -92,7 +94,7 @@
         has_changed
     }
 
-    /// What a peer at position `after` lacks; `None` where it lacks nothing.
+    /// The changes that a peer at position `after` lacks; `None` if it lacks none.
     pub fn delta_after(&self, after: u64) -> Option<ListDelta<T>> {
         if after >= self.position {
             return None;
@@ -114,15 +116,15 @@
         Some(ListDelta { from: after, to: self.position, put, removed })
     }
 
-    /// Takes in what a peer sent; returns whether the list moved on. A delta that is old, or that
-    /// starts from another position, changes nothing.
+    /// Applies a delta from a peer. Returns whether the list changed its position. A delta that is
+    /// old, or that starts from another position, is ignored.
     pub fn apply(&mut self, delta: ListDelta<T>) -> bool {
         let fits = delta.from == 0 || delta.from == self.position;
         if delta.to <= self.position || !fits {
             return false;
         }
         if delta.from == 0 {
-            self.take_list(delta.to, delta.put);
+            self.apply_list(delta.to, delta.put);
             return true;
         }
         let mut changed = Vec::new();
@@ -138,7 +140,7 @@
         true
     }
 
-    /// Moves to `position` and remembers the changes that led there.
+    /// Moves to `position` and records the changes that led there.
     fn move_to(&mut self, position: u64, changed: Vec<String>) {
         self.position = position;
         if self.known_positions.back() != Some(&position) {
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Forgets the oldest position and the changes that led from it to the next.
+    /// Removes the oldest position and the changes that led from it to the next.
     fn forget_oldest(&mut self) {
         self.known_positions.pop_front();
         let Some(&oldest) = self.known_positions.front() else { return self.changes.clear() };
--- a/crates/galenapath-membership/src/watchers.rs
+++ b/crates/galenapath-membership/src/watchers.rs
@@ -1,40 +1,43 @@
-//! Which instances watch the platform's store for all.
+//! Decides which instances watch the platform's store for all.
 //!
 //! Load pattern: a store whose calls are counted and billed while the fleet grows, and outages that
-//! meet some instances and not others. With every instance watching, the calls grow with the fleet;
-//! with one, its outage is everybody's. So few watch, each of another failure domain where there is
-//! one, and an instance that the store does not answer steps back at once.
+//! affect some instances and not others. If every instance watched, the calls would grow with the
+//! fleet; if only one did, its outage would affect all. Therefore a few instances watch, each in
+//! another failure domain if possible, and an instance that the store does not answer becomes a
+//! standby at once.
 
 use crate::{InstanceStatus, Peer, StoreHealth};
 use galenapath_protocol::{DomainId, Incarnation, hash64};
 
-/// Instances that watch at a time: one to be cut off and one to go on.
+/// Number of instances that watch at a time: if one is cut off, the other continues.
 pub const WATCHERS: usize = 2;
 
-/// Seed of the order in which instances are asked to watch.
+/// Seed of the order in which instances are selected to watch.
 const ORDER_SEED: u64 = 0x0077_6174_6368;
 
-/// What an instance does about the store now.
+/// How an instance currently uses the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchRole {
-    /// Watches.
+    /// Watches the store.
     Watch,
-    /// Tries now and then whether the store answers again: nobody is answered, and this instance is
-    /// one of those whose turn it is.
+    /// Checks periodically whether the store answers again. The store answers no instance, and this
+    /// one is among the first in the order.
     Retry,
-    /// Leaves it to others.
+    /// Leaves watching to other instances.
     Standby,
 }
 
-/// Instances from which on the first reads of a fleet are left to few, whatever their sizes.
+/// Fleet size from which on the first reads are left to few instances, regardless of their
+/// capacity.
 const MANY: usize = 32;
 
-/// Whether an instance that has just started reads the store for itself.
+/// Whether an instance that has just started reads the state from the store itself.
 ///
-/// Load pattern: all instances start at the same moment. Every one that reads for itself serves a
-/// little sooner and makes some calls more, a page for each fifty servers. It matters how soon the
-/// large ones serve, since callers are sent to them; a small one takes the state from a larger one that
-/// the store answers, and in a large fleet everybody does.
+/// Load pattern: all instances start at the same moment. An instance that reads the store itself
+/// serves a little sooner, at the cost of one call for each page of fifty servers. It matters how
+/// soon large instances serve, since callers are sent to them. A small instance gets the state from
+/// a larger one that the store answers, and in a large fleet every instance gets it from another
+/// that the store answers.
 pub fn reads_store_at_start<'a>(
     own_capacity: u32,
     mut peers: impl Iterator<Item = &'a Peer>,
@@ -85,8 +88,8 @@
     }
 }
 
-/// Places of the first candidates, no two of one failure domain while others are left that the
-/// store answers.
+/// Indexes of the selected candidates: the first ones, no two of one failure domain while the store
+/// answers candidates in others.
 fn spread_over_domains(all: &[Candidate<'_>]) -> Vec<usize> {
     let mut chosen: Vec<usize> = Vec::new();
     let is_apart = |chosen: &[usize], index: usize| {
--- a/crates/galenapath-membership/tests/fleet.rs
+++ b/crates/galenapath-membership/tests/fleet.rs
@@ -64,9 +64,9 @@
             id: InstanceId(format!("i{n}")),
             incarnation: Incarnation(self.rng.random()),
             domain: DomainId(format!("d{}", n % 3).into()),
-            callers: address(n + 1_000),
-            peers: address(n),
-            beat: 0,
+            caller_address: address(n + 1_000),
+            peer_address: address(n),
+            status_version: 0,
             status: MemberStatus::Live,
         }
     }
@@ -97,7 +97,7 @@
         known.push(self.members[to].clone());
         for member in known {
             let learned = self.nodes[from].learn(self.now, member.clone());
-            let other = usize::from(member.peers.port() - 2_000);
+            let other = usize::from(member.peer_address.port() - 2_000);
             if learned == LearnOutcome::Known || other == to || self.is_lost() {
                 continue;
             }
@@ -122,7 +122,7 @@
             return;
         }
         let beat = self.beat_of(from);
-        match self.nodes[to].hear(self.now, &beat) {
+        match self.nodes[to].apply_heartbeat(self.now, &beat) {
             HeartbeatOutcome::Known => {}
             HeartbeatOutcome::AccusesUs => self.answer_accusation(to),
             HeartbeatOutcome::ViewDiffers if self.differing == Differing::Ignores => {}
@@ -146,7 +146,7 @@
         let ended = self.members[n].incarnation;
         for other in (0..INSTANCES).filter(|other| *other != n) {
             if !self.rng.random_bool(LOSS) {
-                self.nodes[other].ended(ended);
+                self.nodes[other].remove(ended);
             }
         }
         self.members[n] = self.new_member(n);
@@ -172,10 +172,10 @@
         }
         let changes = self.nodes[n].tick(self.now);
         // What an instance finds itself it tells all.
-        let to = if changes.iter().any(|change| change.is_own) {
-            self.nodes[n].all()
+        let to = if changes.iter().any(|change| change.is_detected_here) {
+            self.nodes[n].reachable_addresses()
         } else {
-            self.nodes[n].due(self.now, false)
+            self.nodes[n].heartbeats_due(self.now, false)
         };
         for to in to {
             self.tell(n, usize::from(to.port() - 2_000));
--- a/crates/galenapath-membership/tests/heartbeats.rs
+++ b/crates/galenapath-membership/tests/heartbeats.rs
@@ -21,9 +21,9 @@
         id: InstanceId(format!("i{n}")),
         incarnation: Incarnation(n),
         domain: domain(n),
-        callers: SocketAddr::from(([127, 0, 0, 1], 1_000 + n as u16)),
-        peers: SocketAddr::from(([127, 0, 0, 1], 2_000 + n as u16)),
-        beat: 0,
+        caller_address: SocketAddr::from(([127, 0, 0, 1], 1_000 + n as u16)),
+        peer_address: SocketAddr::from(([127, 0, 0, 1], 2_000 + n as u16)),
+        status_version: 0,
         status: MemberStatus::Live,
     }
 }
@@ -53,7 +53,7 @@
     for _ in 0..ms / 50 {
         now = now + Micros::from_millis(50);
         for n in heard {
-            beats.hear(now, &beat(*n, &[]));
+            beats.apply_heartbeat(now, &beat(*n, &[]));
         }
         beats.tick(now);
     }
@@ -101,13 +101,13 @@
     // Nothing is heard of instance 20, which sends its heartbeats to others.
     let now = pass(&mut beats, now, 2_000, &monitored);
     assert!(peer(&beats, 20).is_up());
-    beats.hear(now, &beat(50, &[20]));
+    beats.apply_heartbeat(now, &beat(50, &[20]));
     beats.tick(now);
     assert!(peer(&beats, 20).is_up(), "one accuser may be cut off itself");
-    beats.hear(now, &beat(51, &[20]));
+    beats.apply_heartbeat(now, &beat(51, &[20]));
     beats.tick(now);
     assert!(!peer(&beats, 20).is_up());
-    beats.hear(now, &beat(20, &[]));
+    beats.apply_heartbeat(now, &beat(20, &[]));
     beats.tick(now);
     assert!(peer(&beats, 20).is_up());
 }
@@ -117,12 +117,12 @@
     let mut beats = beats(0, 0..60);
     let monitored: Vec<u64> = (45..60).collect();
     let now = pass(&mut beats, START, 500, &monitored);
-    beats.hear(now, &beat(50, &[20]));
-    beats.hear(now, &beat(51, &[20]));
+    beats.apply_heartbeat(now, &beat(50, &[20]));
+    beats.apply_heartbeat(now, &beat(51, &[20]));
     // Nobody repeats the accusation, and the instance is not heard.
     let now = pass(&mut beats, now, 10_000, &monitored);
     assert!(!peer(&beats, 20).is_up());
-    beats.hear(now + Micros(1), &beat(20, &[]));
+    beats.apply_heartbeat(now + Micros(1), &beat(20, &[]));
     beats.tick(now + Micros(1));
     assert!(peer(&beats, 20).is_up());
 }
@@ -130,8 +130,8 @@
 #[test]
 fn hear_own_accusation_answered() {
     let mut beats = beats(0, 0..60);
-    assert_eq!(beats.hear(START, &beat(50, &[7])), HeartbeatOutcome::Known);
-    assert_eq!(beats.hear(START, &beat(50, &[0])), HeartbeatOutcome::AccusesUs);
+    assert_eq!(beats.apply_heartbeat(START, &beat(50, &[7])), HeartbeatOutcome::Known);
+    assert_eq!(beats.apply_heartbeat(START, &beat(50, &[0])), HeartbeatOutcome::AccusesUs);
 }
 
 #[test]
@@ -139,21 +139,21 @@
     // Each of two takes the other for gone: an answer to those that are up would never end it.
     let mut beats = beats(0, 0..60);
     for accuser in [50, 51] {
-        beats.hear(START, &beat(accuser, &[20]));
+        beats.apply_heartbeat(START, &beat(accuser, &[20]));
     }
     beats.tick(START + Micros::from_millis(50));
-    assert_eq!((beats.all().len(), beats.all_addresses().len()), (58, 59));
+    assert_eq!((beats.reachable_addresses().len(), beats.all_addresses().len()), (58, 59));
     beats.record_contact(START, Incarnation(20));
     beats.tick(START + Micros::from_millis(100));
-    assert_eq!(beats.all().len(), 59);
+    assert_eq!(beats.reachable_addresses().len(), 59);
 }
 
 #[test]
 fn learn_of_one_taken_for_gone_is_doubted() {
     let mut beats = beats(0, 0..60);
     assert_eq!(beats.learn(START, member(20)), LearnOutcome::Known);
-    beats.hear(START, &beat(50, &[20]));
-    beats.hear(START, &beat(51, &[20]));
+    beats.apply_heartbeat(START, &beat(50, &[20]));
+    beats.apply_heartbeat(START, &beat(51, &[20]));
     beats.tick(START + Micros::from_millis(50));
     assert_eq!(beats.learn(START, member(20)), LearnOutcome::KnownDown);
 }
@@ -162,7 +162,7 @@
 fn due_mostly_at_home_in_a_large_fleet() {
     let mut beats = beats(0, 0..120);
     let domain_of = |address: &SocketAddr| u64::from(address.port() - 2_000) % 3;
-    let due = beats.due(START + Micros::from_secs(1), false);
+    let due = beats.heartbeats_due(START + Micros::from_secs(1), false);
     let home = due.iter().filter(|address| domain_of(address) == 0).count();
     assert_eq!((due.len(), home), (6, 4));
 }
@@ -175,7 +175,7 @@
     for n in (0..61).filter(|n| n % 3 != 0 || *n == 30) {
         beats.learn(START, member(n));
     }
-    assert_eq!(beats.due(START + Micros::from_secs(1), false).len(), 6);
+    assert_eq!(beats.heartbeats_due(START + Micros::from_secs(1), false).len(), 6);
 }
 
 #[test]
@@ -183,12 +183,15 @@
     let mut beats = beats(0, 0..120);
     // All but those that this instance hears or is heard by were found silent.
     for n in 20..100 {
-        beats.hear(START, &beat(118, &[n]));
-        beats.hear(START, &beat(119, &[n]));
+        beats.apply_heartbeat(START, &beat(118, &[n]));
+        beats.apply_heartbeat(START, &beat(119, &[n]));
     }
     let now = START + Micros::from_secs(2);
     beats.tick(START + Micros::from_millis(50));
-    assert!(beats.due(now, false).len() <= 12, "each of 80 silent ones sought by everybody");
+    assert!(
+        beats.heartbeats_due(now, false).len() <= 12,
+        "each of 80 silent ones sought by everybody"
+    );
 }
 
 #[test]
@@ -202,9 +205,9 @@
         now = now + Micros::from_millis(50);
         accused.clear();
         for n in (0..fleet).filter(|n| !gone(*n)) {
-            let due = all[n as usize].due(now, false);
+            let due = all[n as usize].heartbeats_due(now, false);
             for to in due.iter().map(|address| u64::from(address.port() - 2_000)) {
-                all[to as usize].hear(now, &beat(n, &[]));
+                all[to as usize].apply_heartbeat(now, &beat(n, &[]));
             }
         }
         for n in (0..fleet).filter(|n| !gone(*n)) {
@@ -214,7 +217,7 @@
     }
     let observer = &mut all[0];
     for (from, list) in accused {
-        observer.hear(now, &Heartbeat { accused: list, ..beat(from, &[]) });
+        observer.apply_heartbeat(now, &Heartbeat { accused: list, ..beat(from, &[]) });
     }
     observer.tick(now);
     let left = observer.peers().filter(|p| p.is_up() && gone(p.member.incarnation.0)).count();
@@ -226,23 +229,23 @@
     let mut beats = beats(0, 0..120);
     let all_addresses: Vec<u64> = (1..120).collect();
     let now = pass(&mut beats, START, 100, &all_addresses);
-    assert_eq!(beats.due(now, false).len(), 6);
-    assert!(beats.due(now + Micros::from_millis(100), false).is_empty());
-    assert_eq!(beats.due(now + Micros::from_millis(250), false).len(), 6);
+    assert_eq!(beats.heartbeats_due(now, false).len(), 6);
+    assert!(beats.heartbeats_due(now + Micros::from_millis(100), false).is_empty());
+    assert_eq!(beats.heartbeats_due(now + Micros::from_millis(250), false).len(), 6);
 }
 
 #[test]
 fn due_home_heard_more_of_those_that_serve() {
     let mut beats = beats(0, 0..120);
     // A third of the others are of the same failure domain.
-    assert!(beats.due(START + Micros::from_secs(1), true).len() > 39);
+    assert!(beats.heartbeats_due(START + Micros::from_secs(1), true).len() > 39);
 }
 
 #[test]
 fn hear_stranger_told() {
     let mut beats = beats(0, 0..3);
-    assert_eq!(beats.hear(START, &beat(1, &[])), HeartbeatOutcome::Known);
-    assert_eq!(beats.hear(START, &beat(9, &[])), HeartbeatOutcome::UnknownSender);
+    assert_eq!(beats.apply_heartbeat(START, &beat(1, &[])), HeartbeatOutcome::Known);
+    assert_eq!(beats.apply_heartbeat(START, &beat(9, &[])), HeartbeatOutcome::UnknownSender);
 }
 
 #[test]
@@ -250,17 +253,17 @@
     let mut beats = beats(0, 0..3);
     let same = Heartbeat { digest: beats.digest(), ..beat(1, &[]) };
     let other = Heartbeat { digest: beats.digest() ^ 77, ..beat(2, &[]) };
-    assert_eq!(beats.hear(START, &same), HeartbeatOutcome::Known);
+    assert_eq!(beats.apply_heartbeat(START, &same), HeartbeatOutcome::Known);
     let later = START + Micros::from_millis(300);
     assert_eq!(
-        beats.hear(later, &other),
+        beats.apply_heartbeat(later, &other),
         HeartbeatOutcome::Known,
         "a start may not be known to all yet"
     );
     let later = START + Micros::from_millis(2_700);
-    assert_eq!(beats.hear(later, &other), HeartbeatOutcome::ViewDiffers);
+    assert_eq!(beats.apply_heartbeat(later, &other), HeartbeatOutcome::ViewDiffers);
     let soon = later + Micros::from_millis(300);
-    assert_eq!(beats.hear(soon, &other), HeartbeatOutcome::Known, "asked just now");
+    assert_eq!(beats.apply_heartbeat(soon, &other), HeartbeatOutcome::Known, "asked just now");
 }
 
 #[test]
@@ -272,8 +275,8 @@
         let steps = (from..to).step_by(250);
         let at = |ms: u64| START + Micros::from_millis(ms);
         let is_asked = |ms: &u64| {
-            beats.hear(at(*ms), &same);
-            beats.hear(at(*ms), &other) == HeartbeatOutcome::ViewDiffers
+            beats.apply_heartbeat(at(*ms), &same);
+            beats.apply_heartbeat(at(*ms), &other) == HeartbeatOutcome::ViewDiffers
         };
         steps.filter(is_asked).collect()
     };
@@ -281,7 +284,7 @@
     // Eight seconds after the start at the earliest.
     assert_eq!(asked(2_000, 12_000, &mut beats), [8_000]);
     // One heartbeat that agrees begins the count anew.
-    beats.hear(
+    beats.apply_heartbeat(
         START + Micros::from_millis(12_000),
         &Heartbeat { digest: same.digest, ..other.clone() },
     );
@@ -297,13 +300,13 @@
     };
     let mut few = beats(0, 0..8);
     assert!(reads_store_at_start(100, few.peers()), "nobody is answered");
-    few.hear(START, &answering(3, 100));
+    few.apply_heartbeat(START, &answering(3, 100));
     assert!(reads_store_at_start(100, few.peers()), "of equal size, in a small fleet");
-    few.hear(START, &answering(4, 500));
+    few.apply_heartbeat(START, &answering(4, 500));
     assert!(!reads_store_at_start(100, few.peers()));
     assert!(reads_store_at_start(500, few.peers()));
     let mut many = beats(0, 0..60);
-    many.hear(START, &answering(3, 100));
+    many.apply_heartbeat(START, &answering(3, 100));
     assert!(!reads_store_at_start(100, many.peers()));
 }
 
@@ -321,7 +324,7 @@
         let mut beats = beats(own, fleet.iter().map(|(n, _)| *n));
         for (n, store) in fleet.iter().filter(|(n, _)| *n != own) {
             let status = InstanceStatus { store: *store, ..InstanceStatus::default() };
-            beats.hear(
+            beats.apply_heartbeat(
                 START,
                 &Heartbeat { from: Incarnation(*n), status, accused: Vec::new(), digest: 0 },
             );
--- a/crates/galenapath-membership/tests/listing.rs
+++ b/crates/galenapath-membership/tests/listing.rs
@@ -17,8 +17,8 @@
 #[test]
 fn delta_after_holds_changes_only() {
     let mut ahead = TrackedList::default();
-    ahead.take_list(5, list(&[("a", 1), ("b", 1), ("c", 1)]));
-    ahead.take_list(9, list(&[("a", 1), ("b", 2), ("d", 1)]));
+    ahead.apply_list(5, list(&[("a", 1), ("b", 1), ("c", 1)]));
+    ahead.apply_list(9, list(&[("a", 1), ("b", 2), ("d", 1)]));
     let delta = ahead.delta_after(5).unwrap();
     assert_eq!(delta.put, list(&[("b", 2), ("d", 1)]));
     assert_eq!(delta.removed, ["c"]);
@@ -28,7 +28,7 @@
 #[test]
 fn delta_after_unknown_position_holds_all() {
     let mut ahead = TrackedList::default();
-    ahead.take_list(5, list(&[("a", 1)]));
+    ahead.apply_list(5, list(&[("a", 1)]));
     let delta = ahead.delta_after(3).unwrap();
     assert_eq!((delta.from, delta.put), (0, list(&[("a", 1)])));
 }
@@ -36,9 +36,9 @@
 #[test]
 fn apply_old_delta_changes_nothing() {
     let mut ahead = TrackedList::default();
-    ahead.take_list(5, list(&[("a", 1)]));
+    ahead.apply_list(5, list(&[("a", 1)]));
     let old = ahead.delta_after(0).unwrap();
-    ahead.take_list(6, list(&[("b", 1)]));
+    ahead.apply_list(6, list(&[("b", 1)]));
     assert!(!ahead.apply(old));
     assert_eq!(held(&ahead), [1]);
     assert_eq!(ahead.position(), 6);
@@ -47,10 +47,10 @@
 #[test]
 fn apply_delta_from_later_position_refused() {
     let mut ahead = TrackedList::default();
-    ahead.take_list(5, list(&[("a", 1)]));
-    ahead.take_list(6, list(&[("a", 1), ("b", 1)]));
+    ahead.apply_list(5, list(&[("a", 1)]));
+    ahead.apply_list(6, list(&[("a", 1), ("b", 1)]));
     let mut behind = TrackedList::default();
-    behind.take_list(3, list(&[("z", 1)]));
+    behind.apply_list(3, list(&[("z", 1)]));
     assert!(!behind.apply(ahead.delta_after(5).unwrap()));
     assert_eq!(behind.position(), 3);
 }
@@ -58,8 +58,8 @@
 #[test]
 fn take_list_set_back_is_taken() {
     let mut tracked = TrackedList::default();
-    tracked.take_list(50, list(&[("a", 1)]));
-    tracked.take_list(2, list(&[("b", 2)]));
+    tracked.apply_list(50, list(&[("a", 1)]));
+    tracked.apply_list(2, list(&[("b", 2)]));
     assert_eq!((tracked.position(), held(&tracked)), (2, vec![2]));
 }
 
@@ -67,7 +67,7 @@
 fn delta_after_bounded_memory_falls_back_to_all() {
     let mut tracked = TrackedList::default();
     for position in 1..5_000 {
-        tracked.take_list(position, list(&[("a", position as u32)]));
+        tracked.apply_list(position, list(&[("a", position as u32)]));
     }
     assert_eq!(tracked.delta_after(1).unwrap().from, 0);
     assert_eq!(tracked.delta_after(4_990).unwrap().from, 4_990);
@@ -110,7 +110,7 @@
                 Step::Read { node, position } => {
                     // Reads of one node go forward, as a watch does.
                     if position as u64 + 1 >= nodes[node].position() {
-                        nodes[node].take_list(position as u64 + 1, lists[position].clone());
+                        nodes[node].apply_list(position as u64 + 1, lists[position].clone());
                     }
                 }
                 Step::Ask { node, from } => {
--- a/crates/galenapath-membership/tests/merge.rs
+++ b/crates/galenapath-membership/tests/merge.rs
@@ -12,9 +12,9 @@
         id: InstanceId(format!("entry-{incarnation}")),
         incarnation: Incarnation(incarnation),
         domain: DomainId("d1".into()),
-        callers: ([127, 0, 0, 1], 1).into(),
-        peers: ([127, 0, 0, 1], 2).into(),
-        beat,
+        caller_address: ([127, 0, 0, 1], 1).into(),
+        peer_address: ([127, 0, 0, 1], 2).into(),
+        status_version: beat,
         status,
     }
 }
@@ -33,7 +33,7 @@
     let mut view: Vec<_> = members
         .all()
         .filter(|m| m.incarnation.0 != 0)
-        .map(|m| (m.incarnation.0, m.beat, m.status))
+        .map(|m| (m.incarnation.0, m.status_version, m.status))
         .collect();
     view.sort_unstable();
     view
@@ -183,9 +183,11 @@
 
 #[test]
 fn model_merge_mutants_found() {
-    let without_beat: Rule = |news, known| news.status > known.status || news.beat > known.beat;
-    let without_status: Rule = |news, known| news.beat >= known.beat;
-    let status_first: Rule = |news, known| (news.status, news.beat) > (known.status, known.beat);
+    let without_beat: Rule =
+        |news, known| news.status > known.status || news.status_version > known.status_version;
+    let without_status: Rule = |news, known| news.status_version >= known.status_version;
+    let status_first: Rule =
+        |news, known| (news.status, news.status_version) > (known.status, known.status_version);
     let always: Rule = |_, _| true;
     for (name, mutant) in [
         ("beat not compared first", without_beat),
--- a/crates/galenapath-membership/tests/network/mod.rs
+++ b/crates/galenapath-membership/tests/network/mod.rs
@@ -50,9 +50,9 @@
         id: InstanceId(format!("entry-{node}")),
         incarnation: Incarnation(hash64(run, &node.to_le_bytes())),
         domain: DomainId(format!("d{}", node % 3).into()),
-        callers: address,
-        peers: address,
-        beat: 0,
+        caller_address: address,
+        peer_address: address,
+        status_version: 0,
         status: MemberStatus::Live,
     }
 }
@@ -171,7 +171,7 @@
         let to = usize::from(probe.to.port()) - 10_000;
         let probed = probe.incarnation;
         let call = self.drawn;
-        let news = self.nodes[from].members.news(probed);
+        let news = self.nodes[from].members.updates_for(probed);
         self.largest_message = self.largest_message.max(news.len());
         self.nodes[from].open.push(call);
         self.queue(CALL_TIMEOUT, Event::Timeout { at: from, probed, call });
@@ -197,7 +197,7 @@
                     return;
                 }
                 node.members.merge(now, &news);
-                let news = node.members.news(news[0].incarnation);
+                let news = node.members.updates_for(news[0].incarnation);
                 self.largest_message = self.largest_message.max(news.len());
                 self.send(to, from, Event::Reply { to: from, probed, call, news });
             }
@@ -210,7 +210,7 @@
                 if news[0].incarnation == probed {
                     node.members.probe_answered(now, probed);
                 } else {
-                    node.members.replaced(now, probed);
+                    node.members.mark_replaced(now, probed);
                 }
             }
             Event::Timeout { at, probed, call } => {
--- a/crates/galenapath-peers/src/convert.rs
+++ b/crates/galenapath-peers/src/convert.rs
@@ -39,9 +39,9 @@
             id: member.id.0.clone(),
             incarnation: member.incarnation.0,
             domain: member.domain.0.to_string(),
-            callers: member.callers.to_string(),
-            peers: member.peers.to_string(),
-            beat: member.beat,
+            callers: member.caller_address.to_string(),
+            peers: member.peer_address.to_string(),
+            beat: member.status_version,
             status: member.status.into(),
         }
     }
@@ -55,9 +55,9 @@
             id: InstanceId(wire.id.clone()),
             incarnation: Incarnation(wire.incarnation),
             domain: DomainId(wire.domain.as_str().into()),
-            callers: address(&wire.callers)?,
-            peers: address(&wire.peers)?,
-            beat: wire.beat,
+            caller_address: address(&wire.callers)?,
+            peer_address: address(&wire.peers)?,
+            status_version: wire.beat,
             status: wire.status.into(),
         })
     }
--- a/crates/galenapath-routes/src/changes.rs
+++ b/crates/galenapath-routes/src/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the list of backend servers, as they come from the store and go between instances.
+//! Changes of the list of backend servers, as read from the store and sent between instances.
 
 use crate::ServerRecord;
 use galenapath_protocol::{BackendId, Micros};
@@ -13,14 +13,15 @@
     Removed(BackendId),
 }
 
-/// An entry as it is passed between instances.
+/// An entry as it is sent between instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedServer {
     /// Revision at which the store wrote the entry, or removed it if it lapses.
     pub revision: u64,
     /// The entry.
     pub record: ServerRecord,
-    /// Time left for the entry to come back, for one that vanished while the store was away.
+    /// Time until an entry that vanished during an outage of the store is removed, unless it is
+    /// written again.
     pub expires_in: Option<Micros>,
 }
 
@@ -33,13 +34,13 @@
     pub id: BackendId,
 }
 
-/// Changes after a position; what a peer that is behind takes in.
+/// Changes after a position, for a peer that is behind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerChanges {
-    /// Whether `puts` is the whole list, so that a server missing in it is gone.
+    /// Whether `puts` is the whole list, so that a server missing from it is gone.
     pub is_whole: bool,
-    /// Short forms of the identities of all servers listed, so that one missing among them is gone; empty
-    /// where `removals` says all that has gone, or `puts` is the whole list.
+    /// Short identities of all listed servers, so that a server missing from them is gone. Empty if
+    /// `removals` is complete or `puts` is the whole list.
     pub present: Vec<u32>,
     /// Entries that were added or changed.
     pub puts: Vec<ListedServer>,
@@ -49,7 +50,7 @@
     pub position: u64,
 }
 
-/// A change of the list that a reader of it can see, whichever way it was learned.
+/// A change that readers of the list can observe, regardless of how it was learned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VisibleChange {
     /// A server was added or changed.
@@ -65,7 +66,7 @@
         revision: u64,
         /// The run that was listed.
         id: BackendId,
-        /// Until when the entry may come back; `None` where the server is gone at once.
+        /// Until when the entry may return; `None` if the server is gone at once.
         gone_at: Option<Micros>,
     },
 }
--- a/crates/galenapath-routes/src/directory.rs
+++ b/crates/galenapath-routes/src/directory.rs
@@ -1,28 +1,28 @@
-//! The backend servers that the platform lists, and how far the list is known.
+//! The backend servers that the platform lists, and the position up to which the list is known.
 //!
 //! Load pattern: watches that are cut or lose their history, lists read in pages that are no
-//! snapshot, entries that lapse while the store is away, and peers that pass changes on in any
-//! order. Without revisions an old list would bring back a server that has left; without the wait
-//! after an outage a store that forgot its entries would empty the fleet. A server may start again
-//! under its identity while a write of its former run is still on its way: without the time of the start
-//! that write would bring the former run back, or keep the new one from getting requests.
+//! snapshot, entries that expire while the store is unavailable, and peers that forward changes in
+//! any order. Without revisions an old list would restore a server that has left. Without the delay
+//! after an outage a store that lost its entries would empty the fleet. A server may start again
+//! under its identity while a write of its former run is still in transit. Without the start time
+//! that write would restore the former run or keep requests from the new one.
 
 use crate::{Change, ListedServer, Removal, ServerChanges, ServerRecord, StartedAt, VisibleChange};
 use galenapath_protocol::{BackendId, FastMap, FastSet, Micros};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Removals that are remembered for peers that are behind. A day of 440 replacements fits.
+/// Number of removals kept for peers that are behind. Enough for a day of 440 replacements.
 const REMEMBERED: usize = 1_024;
 
 #[derive(Clone, Debug)]
 struct Listed {
     revision: u64,
-    /// Shared with those who read the list, of which each would else hold a copy.
+    /// Shared with the readers of the list, which would otherwise each hold a copy.
     record: Arc<ServerRecord>,
-    /// When the server counts as gone unless its entry comes back; set for entries that vanished
-    /// while the store was away.
-    lapses_at: Option<Micros>,
+    /// When the server is removed unless its entry is written again. Set for entries that vanished
+    /// during an outage of the store.
+    expires_at: Option<Micros>,
 }
 
 impl Listed {
@@ -30,24 +30,24 @@
         ListedServer {
             revision: self.revision,
             record: ServerRecord::clone(&self.record),
-            expires_in: self.lapses_at.map(|at| at - now),
+            expires_in: self.expires_at.map(|at| at - now),
         }
     }
 }
 
-/// The newest removal of an entry.
+/// The latest removal of an entry.
 #[derive(Clone, Copy, Debug)]
 struct Removed {
     revision: u64,
-    /// Start of the latest run that is known; an earlier one does not come back.
+    /// Start of the latest known run. Entries of earlier runs are ignored.
     started: StartedAt,
 }
 
-/// The list.
+/// The list of backend servers.
 ///
-/// Invariants: of each identity only the latest run that was ever seen counts, whatever the revisions say
-/// of earlier ones; within a run an entry's revision never falls; an entry that was removed at
-/// revision `r` comes back only with a revision above `r`.
+/// Invariants: of each identity only the latest known run counts, whatever the revisions of earlier
+/// runs are; within a run the revision of an entry never decreases; an entry that was removed at
+/// revision `r` is restored only with a revision above `r`.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     position: u64,
@@ -55,14 +55,14 @@
     /// Removals, oldest first.
     removals: VecDeque<Removal>,
     removed: FastMap<BackendId, Removed>,
-    /// Position up to which removals are not all known: they were forgotten, or made before the list
-    /// that this one began with.
+    /// Position up to which the removals are incomplete: they were discarded, or made before the
+    /// list that this one began with.
     forgotten: u64,
-    /// Counts changes that a reader of the list can see.
+    /// Number of changes that readers of the list can observe.
     generation: u64,
-    /// What has changed since it was last asked.
-    news: Vec<VisibleChange>,
-    /// Names of services and failure domains, which all servers share.
+    /// Changes since the last call of `take_visible_changes`.
+    visible_changes: Vec<VisibleChange>,
+    /// Names of services and failure domains, shared by all records.
     names: FastSet<Arc<str>>,
 }
 
@@ -72,15 +72,15 @@
         self.position
     }
 
-    /// Counts up with each visible change.
+    /// Increases with each visible change.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// What has changed since the last call, in order. Whoever changes the list has to call this, or what
-    /// has changed gathers.
+    /// Takes the visible changes since the last call, in order. Has to be called after each change
+    /// of the list, because the changes accumulate until then.
     pub fn take_visible_changes(&mut self) -> Vec<VisibleChange> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.visible_changes)
     }
 
     /// The servers.
@@ -88,13 +88,13 @@
         self.servers.values().map(|listed| &listed.record)
     }
 
-    /// One server.
+    /// The server with this identity.
     pub fn get(&self, id: &BackendId) -> Option<&ServerRecord> {
         self.servers.get(id).map(|listed| &*listed.record)
     }
 
-    /// Takes in one change that the store made at `revision`. A removal counts from `gone_at` on,
-    /// or at once without it. Returns whether it was news.
+    /// Applies one change that the store made at `revision`. A removal takes effect at `gone_at`,
+    /// or at once if that is `None`. Returns whether the list changed.
     pub fn apply(&mut self, revision: u64, change: Change, gone_at: Option<Micros>) -> bool {
         match change {
             Change::Put(record) => self.put(revision, record, None),
@@ -102,33 +102,33 @@
         }
     }
 
-    /// Notes that all changes up to `position` have been taken in.
-    pub fn reached(&mut self, position: u64) {
+    /// Records that all changes up to `position` have been applied.
+    pub fn advance_position(&mut self, position: u64) {
         self.position = self.position.max(position);
     }
 
-    /// Takes in a list that was read from `position` on. Entries known before and missing in it
-    /// count as gone from `gone_at` on, or at once without it.
-    pub fn take_list(&mut self, position: u64, list: Vec<ListedServer>, gone_at: Option<Micros>) {
+    /// Applies a list that was read at `position`. Known entries that are missing from it are
+    /// removed at `gone_at`, or at once if that is `None`.
+    pub fn apply_list(&mut self, position: u64, list: Vec<ListedServer>, gone_at: Option<Micros>) {
         let listed: FastSet<BackendId> = list.iter().map(|entry| entry.record.id.clone()).collect();
         for entry in list {
             self.put(entry.revision, entry.record, None);
         }
         self.remove_where(position, gone_at, |id| !listed.contains(id));
-        // What came and went before the list was read is not known here. A peer that was behind then
-        // needs the whole list, or it would keep a server that is long gone.
+        // Servers that were added and removed before the list was read are not known here. A peer
+        // that is behind that position needs to learn which servers are present, or it would keep
+        // one that was removed long ago.
         self.forgotten = self.forgotten.max(position);
-        self.reached(position);
+        self.advance_position(position);
     }
 
-    /// Takes in who is there at `position`.
+    /// Removes the servers that are not among those present at `position`.
     fn remove_missing(&mut self, position: u64, present: &FastSet<u32>) {
         self.remove_where(position, None, |id| !present.contains(&id.short()));
         self.forgotten = self.forgotten.max(position);
     }
 
-    /// Removes the servers that were gone at `position`: those that `is_gone` says of the ones listed up to
-    /// there.
+    /// Removes the servers listed up to `position` for which `is_gone` holds.
     fn remove_where(
         &mut self,
         position: u64,
@@ -144,9 +144,9 @@
         });
     }
 
-    /// Removes the servers whose time to come back has passed. Returns their runs.
+    /// Removes the servers whose time to return has passed. Returns their run IDs.
     pub fn expire(&mut self, now: Micros) -> Vec<BackendId> {
-        let is_due = |entry: &Listed| entry.lapses_at.is_some_and(|at| at <= now);
+        let is_due = |entry: &Listed| entry.expires_at.is_some_and(|at| at <= now);
         let due: Vec<BackendId> =
             self.servers.iter().filter(|(_, e)| is_due(e)).map(|(id, _)| id.clone()).collect();
         let runs = due.iter().map(|id| self.servers[id].record.run_id()).collect();
@@ -157,11 +157,12 @@
         runs
     }
 
-    /// What a peer at `position` lacks.
+    /// The changes that a peer at `position` lacks.
     ///
-    /// A peer that is so far behind that not all removals since are known gets who is there instead, in five
-    /// bytes a server: while hundreds of instances start and servers come in, each list begins at another
-    /// position, and whole lists went to and fro.
+    /// If the removals since `position` are no longer all known, the peer gets the short identities
+    /// of the present servers instead, in five bytes per server. While hundreds of instances start
+    /// and servers are added, each list begins at another position, and instances would exchange
+    /// whole lists.
     pub fn changes_after(&self, position: u64, now: Micros) -> ServerChanges {
         let is_whole = position == 0;
         let is_forgotten = !is_whole && position < self.forgotten;
@@ -177,11 +178,11 @@
         }
     }
 
-    /// Takes in what a peer sent. Entries older than the own ones are left out.
+    /// Merges changes from a peer. Entries older than the known ones are ignored.
     pub fn merge(&mut self, changes: ServerChanges, now: Micros) {
         let ServerChanges { is_whole, present, puts, removals, position } = changes;
         if is_whole && position >= self.position {
-            self.take_list(position, puts.clone(), None);
+            self.apply_list(position, puts.clone(), None);
         }
         if !present.is_empty() && position >= self.position {
             self.remove_missing(position, &present.into_iter().collect());
@@ -192,45 +193,47 @@
         for removal in removals {
             self.remove(removal.revision, &removal.id, None);
         }
-        self.reached(position);
+        self.advance_position(position);
     }
 
-    fn put(&mut self, revision: u64, record: ServerRecord, lapses_at: Option<Micros>) -> bool {
+    fn put(&mut self, revision: u64, record: ServerRecord, expires_at: Option<Micros>) -> bool {
         if self.is_of_former_run(&record) {
             return false;
         }
         if self.removed.get(&record.id).is_some_and(|removed| removed.revision >= revision) {
-            self.note_gone(&record);
+            self.record_ended_run(&record);
             return false;
         }
         let record = Arc::new(self.with_shared_names(record));
         let Some(entry) = self.servers.get_mut(&record.id) else {
-            self.news.push(VisibleChange::Listed { revision, record: Arc::clone(&record) });
-            self.servers.insert(record.id.clone(), Listed { revision, record, lapses_at });
+            self.visible_changes
+                .push(VisibleChange::Listed { revision, record: Arc::clone(&record) });
+            self.servers.insert(record.id.clone(), Listed { revision, record, expires_at });
             self.generation += 1;
             return true;
         };
         let is_later_run = record.started > entry.record.started;
         let is_old = entry.revision > revision && !is_later_run;
         if is_old || (entry.revision == revision && entry.record == record) {
-            if entry.revision == revision && entry.lapses_at.is_none() {
-                entry.lapses_at = lapses_at;
+            if entry.revision == revision && entry.expires_at.is_none() {
+                entry.expires_at = expires_at;
             }
             return false;
         }
-        let is_back = entry.lapses_at.is_some() && lapses_at.is_none();
+        let is_back = entry.expires_at.is_some() && expires_at.is_none();
         entry.revision = revision;
-        entry.lapses_at = lapses_at;
-        let is_changed = record.has_turned(&entry.record) || !entry.record.is_like(&record);
+        entry.expires_at = expires_at;
+        let is_changed = record.has_warm_up_changed(&entry.record)
+            || !entry.record.is_same_except_warm_up(&record);
         entry.record = Arc::clone(&record);
         self.generation += u64::from(is_changed);
         if is_changed || is_back {
-            self.news.push(VisibleChange::Listed { revision, record });
+            self.visible_changes.push(VisibleChange::Listed { revision, record });
         }
         true
     }
 
-    /// The record with the names of its service and failure domain that other records have.
+    /// The record with its service and failure domain names shared with the other records.
     fn with_shared_names(&mut self, mut record: ServerRecord) -> ServerRecord {
         record.service = self.shared(record.service);
         record.domain.0 = self.shared(record.domain.0);
@@ -252,8 +255,8 @@
         listed.max(removed).is_some_and(|latest| latest > record.started)
     }
 
-    /// The run of `record` has ended before it was heard of; an earlier one ends with it.
-    fn note_gone(&mut self, record: &ServerRecord) {
+    /// Records that the run of `record` ended before its entry arrived. Earlier runs end with it.
+    fn record_ended_run(&mut self, record: &ServerRecord) {
         let Some(removed) = self.removed.get_mut(&record.id) else { return };
         removed.started = record.started;
         let revision = removed.revision;
@@ -261,29 +264,29 @@
         let Some(former) = former.filter(|former| former.started < record.started) else { return };
         let id = former.run_id();
         self.drop_entry(revision, &record.id);
-        self.news.push(VisibleChange::Removed { revision, id, gone_at: None });
+        self.visible_changes.push(VisibleChange::Removed { revision, id, gone_at: None });
     }
 
     fn remove(&mut self, revision: u64, id: &BackendId, gone_at: Option<Micros>) -> bool {
         let Some(entry) = self.servers.get_mut(id) else {
-            // The entry itself may still be on its way.
+            // The entry itself may still be in transit.
             self.remember_removal(revision, id);
             return false;
         };
         if entry.revision > revision {
-            // It may have met a later run, whose entry is still on its way.
+            // The removal may belong to a later run, whose entry is still in transit.
             self.remember_removal(revision, id);
             return false;
         }
         let run = entry.record.run_id();
         match gone_at {
             Some(at) => {
-                entry.lapses_at.get_or_insert(at);
+                entry.expires_at.get_or_insert(at);
                 entry.revision = revision;
             }
             None => self.drop_entry(revision, id),
         }
-        self.news.push(VisibleChange::Removed { revision, id: run, gone_at });
+        self.visible_changes.push(VisibleChange::Removed { revision, id: run, gone_at });
         true
     }
 
--- a/crates/galenapath-routes/src/lib.rs
+++ b/crates/galenapath-routes/src/lib.rs
@@ -1,7 +1,7 @@
-//! What an operator's whole configuration says: routes by host and prefix, services, limits; and
-//! the backend servers that the platform lists.
+//! The operator's configuration (routes by host and prefix, services, limits) and the backend
+//! servers that the platform lists.
 //!
-//! Pure values and rules: nothing here reads a socket or a clock.
+//! Pure values and rules: this crate uses neither sockets nor clocks.
 
 mod changes;
 mod directory;
--- a/crates/galenapath-routes/src/limits.rs
+++ b/crates/galenapath-routes/src/limits.rs
@@ -1,22 +1,22 @@
-//! Bounds on what a caller may send.
+//! Limits on the requests of callers.
 
 use std::time::Duration;
 
-/// Bounds on what a caller may send and how long it may take.
+/// Limits on the size and duration of what a caller sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest request head in bytes.
+    /// Maximum size of a request head in bytes.
     pub header_bytes: usize,
-    /// Largest request body in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: u64,
-    /// Longest time from the first byte of a head to its last.
+    /// Maximum time from the first byte of a head to its last.
     pub header_timeout: Duration,
-    /// Longest idle time of a kept connection.
+    /// Maximum idle time of a keep-alive connection.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Usual limits of an HTTP server, in force until the operator's are known.
+    /// Usual limits of an HTTP server, used until the operator's limits are known.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
--- a/crates/galenapath-routes/src/route.rs
+++ b/crates/galenapath-routes/src/route.rs
@@ -1,15 +1,15 @@
-//! One route: which requests it takes and how they are to be served.
+//! Routes: which requests match one and how they are served.
 
 use std::time::Duration;
 
-/// What may be repeated on a route.
+/// Whether the requests of a route may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteKind {
     /// May run more than once.
     Idempotent,
-    /// Runs once at most; never sent again once a byte of it may have run.
+    /// Runs at most once; never sent again once any byte of it may have been processed.
     NonIdempotent,
-    /// A large answer; may run more than once.
+    /// May run more than once and has a large answer.
     Download,
 }
 
@@ -32,12 +32,12 @@
     }
 }
 
-/// A service that a route sends requests to, and its share of them.
+/// A service that a route sends requests to, with its share of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: String,
-    /// Share relative to the other parts of the route; above zero.
+    /// Share relative to the other services of the route; zero gets no requests.
     pub weight: u32,
 }
 
@@ -46,20 +46,20 @@
 pub struct Route {
     /// Name that the operator gave it.
     pub name: String,
-    /// Host that requests name, without a port, in lower case.
+    /// Host name of the requests, without a port, in lower case.
     pub host: String,
-    /// Start of the paths that it takes; begins and ends with a slash.
+    /// Path prefix of the requests; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may run more than once.
     pub kind: RouteKind,
-    /// Where requests go; never empty.
-    pub parts: Vec<WeightedService>,
-    /// Time after which the caller gets the final answer.
+    /// Services that get the requests; never empty.
+    pub services: Vec<WeightedService>,
+    /// Time by which the caller gets the final answer.
     pub timeout: Duration,
-    /// Time within which an answer is worth most.
+    /// Latency target: the time by which the answer should come.
     pub target: Duration,
-    /// Most backend servers that one request is sent to; at least one.
+    /// Maximum number of backend servers that one request is sent to; at least one.
     pub max_attempts: u32,
-    /// Rank among routes that share a service; 0 is the most urgent.
+    /// Priority among routes that share a service; 0 is the most urgent.
     pub rank: u32,
 }
--- a/crates/galenapath-routes/src/table.rs
+++ b/crates/galenapath-routes/src/table.rs
@@ -16,7 +16,7 @@
         /// Name of the service.
         service: String,
     },
-    /// A route sends requests nowhere.
+    /// A route has no service that could get requests.
     #[error("route `{0}` has no service with a weight above zero")]
     NoWeightedService(String),
     /// A prefix that does not begin and end with a slash.
@@ -31,8 +31,8 @@
 
 /// One version of the operator's configuration.
 ///
-/// Invariant: `by_host` holds each route of `routes` under its host and prefix, and each part of a
-/// route names a service of `services`.
+/// Invariant: `by_host` holds each route under its host and prefix, and each service that a route
+/// names is in `services`.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     version: u64,
@@ -67,8 +67,8 @@
         self.version
     }
 
-    /// The route with the longest prefix that begins `path`, among those of `host`. The cost grows
-    /// with the depth of the path, not with the number of routes.
+    /// The route with the longest prefix of `path`, among the routes of `host`. The cost grows with
+    /// the depth of the path, not with the number of routes.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let prefixes = match self.by_host.get(host) {
             Some(prefixes) => prefixes,
@@ -83,12 +83,12 @@
         self.services.get(name)
     }
 
-    /// Names of all services.
+    /// All services with their names.
     pub fn services(&self) -> impl Iterator<Item = (&str, &ServiceSpec)> {
         self.services.iter().map(|(name, spec)| (name.as_str(), spec))
     }
 
-    /// Bounds on what callers may send.
+    /// Limits on the requests of callers.
     pub fn limits(&self) -> &CallerLimits {
         &self.limits
     }
@@ -110,10 +110,10 @@
         let (route, prefix) = (route.name.clone(), route.prefix.clone());
         return Err(TableError::BadPrefix { route, prefix });
     }
-    if route.parts.iter().all(|part| part.weight == 0) {
+    if route.services.iter().all(|part| part.weight == 0) {
         return Err(TableError::NoWeightedService(route.name.clone()));
     }
-    match route.parts.iter().find(|part| !services.contains_key(&part.service)) {
+    match route.services.iter().find(|part| !services.contains_key(&part.service)) {
         Some(part) => Err(TableError::UnknownService {
             route: route.name.clone(),
             service: part.service.clone(),
--- a/crates/galenapath-routes/src/weighted_round_robin.rs
+++ b/crates/galenapath-routes/src/weighted_round_robin.rs
@@ -1,23 +1,23 @@
-//! Sharing a route's requests out among its parts.
+//! Distributes the requests of a route over its services.
 //!
-//! Load pattern: a few hundred requests, spread over many instances, whose shares have to lie close
-//! to the weights. Chance would need far more requests than each instance sees; taking turns keeps
-//! each instance within one request of its share.
+//! Load pattern: a few hundred requests, spread over many instances, whose shares have to be close
+//! to the weights. Random choice would need far more requests than each instance gets; weighted
+//! round robin keeps each instance within one request of its share.
 
 use crate::WeightedService;
 
-/// Whose turn it is on one route (smooth weighted round robin).
+/// Smooth weighted round robin over the services of one route.
 ///
-/// Invariant: one credit for each part; the credits add up to zero between two turns, but for the
-/// random start.
+/// Invariant: there is one credit for each service. Between two choices the credits add up to zero,
+/// apart from the random start.
 #[derive(Clone, Debug)]
 pub struct WeightedRoundRobin {
     credits: Vec<i64>,
 }
 
 impl WeightedRoundRobin {
-    /// A turn that starts at a place drawn from `seed`, so that instances do not all begin with the
-    /// same part.
+    /// Starts at an offset derived from `seed`, so that instances do not all begin with the same
+    /// service.
     pub fn new(parts: &[WeightedService], seed: u64) -> Self {
         let total: i64 = parts.iter().map(|part| i64::from(part.weight)).sum();
         let mut turn = Self { credits: vec![0; parts.len()] };
@@ -27,7 +27,7 @@
         turn
     }
 
-    /// Index of the part that the next request goes to.
+    /// Index of the service that gets the next request.
     pub fn next(&mut self, parts: &[WeightedService]) -> usize {
         let mut best = 0;
         let mut total = 0;
--- a/crates/galenapath-routes/tests/directory.rs
+++ b/crates/galenapath-routes/tests/directory.rs
@@ -50,9 +50,9 @@
 #[test]
 fn changes_after_far_behind_tells_who_is_there() {
     let mut first = Directory::default();
-    first.take_list(10, (1..=3).map(|n| listed(n, n)).collect(), None);
+    first.apply_list(10, (1..=3).map(|n| listed(n, n)).collect(), None);
     let mut second = first.clone();
-    first.take_list(20, [listed(1, 1), listed(15, 4)].into(), None);
+    first.apply_list(20, [listed(1, 1), listed(15, 4)].into(), None);
     // What went between the two lists is not known: no removal says so.
     let changes = first.changes_after(10, NOW);
     assert!(!changes.is_whole);
@@ -65,9 +65,9 @@
 #[test]
 fn merge_who_is_there_does_not_remove_newer() {
     let mut first = Directory::default();
-    first.take_list(20, [listed(1, 1)].into(), None);
+    first.apply_list(20, [listed(1, 1)].into(), None);
     let mut second = Directory::default();
-    second.take_list(10, [listed(1, 1), listed(2, 2)].into(), None);
+    second.apply_list(10, [listed(1, 1), listed(2, 2)].into(), None);
     second.apply(25, Change::Put(record(3, ServerState::Ready)), None);
     second.merge(first.changes_after(10, NOW), NOW);
     assert_eq!(names(&second), ["s1", "s3"]);
@@ -103,7 +103,7 @@
     assert!(!directory.apply(8, Change::Put(run(100, ServerState::Leaving)), None));
     let late =
         ListedServer { revision: 9, record: run(100, ServerState::Leaving), expires_in: None };
-    directory.take_list(9, vec![late], None);
+    directory.apply_list(9, vec![late], None);
     let listed = directory.get(&BackendId("s1".into()));
     assert_eq!(listed, Some(&run(200, ServerState::Ready)));
     directory.apply(10, Change::Removed(BackendId("s1".into())), None);
@@ -125,10 +125,10 @@
 #[test]
 fn take_list_keeps_what_is_newer() {
     let mut directory = Directory::default();
-    directory.take_list(10, vec![listed(5, 1), listed(6, 2)], None);
+    directory.apply_list(10, vec![listed(5, 1), listed(6, 2)], None);
     directory.apply(12, Change::Put(record(3, ServerState::Ready)), None);
     // A list that was read before the third server came.
-    directory.take_list(11, vec![listed(5, 1)], None);
+    directory.apply_list(11, vec![listed(5, 1)], None);
     assert_eq!(names(&directory), ["s1", "s3"]);
     assert_eq!(directory.position(), 11);
 }
@@ -136,7 +136,7 @@
 #[test]
 fn removal_held_until_its_time() {
     let mut directory = Directory::default();
-    directory.take_list(10, vec![listed(5, 1), listed(6, 2)], None);
+    directory.apply_list(10, vec![listed(5, 1), listed(6, 2)], None);
     let gone_at = Some(NOW + Micros::from_secs(2));
     directory.apply(11, Change::Removed(BackendId("s1".into())), gone_at);
     directory.apply(12, Change::Removed(BackendId("s2".into())), gone_at);
@@ -150,11 +150,11 @@
 #[test]
 fn merge_hold_passed_on() {
     let mut first = Directory::default();
-    first.take_list(10, vec![listed(5, 1), listed(6, 2)], None);
+    first.apply_list(10, vec![listed(5, 1), listed(6, 2)], None);
     let mut second = Directory::default();
     second.merge(first.changes_after(0, NOW), NOW);
     first.apply(11, Change::Removed(BackendId("s1".into())), Some(NOW + Micros::from_secs(2)));
-    first.reached(11);
+    first.advance_position(11);
     second.merge(first.changes_after(second.position(), NOW), NOW);
     assert_eq!(names(&second), ["s1", "s2"]);
     assert_eq!(second.expire(NOW + Micros::from_millis(2_100)).len(), 1);
@@ -163,12 +163,12 @@
 #[test]
 fn take_news_whichever_way_it_came() {
     let mut directory = Directory::default();
-    directory.take_list(5, vec![listed(3, 1), listed(4, 2)], None);
+    directory.apply_list(5, vec![listed(3, 1), listed(4, 2)], None);
     assert_eq!(directory.take_visible_changes().len(), 2);
     // Nothing but the revision has changed.
     directory.apply(6, Change::Put(record(1, ServerState::Ready)), None);
     assert!(directory.take_visible_changes().is_empty());
-    directory.take_list(9, vec![listed(6, 1), listed(8, 3)], None);
+    directory.apply_list(9, vec![listed(6, 1), listed(8, 3)], None);
     let news = directory.take_visible_changes();
     let removed = VisibleChange::Removed { revision: 9, id: BackendId("s2".into()), gone_at: None };
     assert_eq!(news.len(), 2, "{news:?}");
@@ -207,10 +207,10 @@
 #[test]
 fn changes_after_whole_for_a_peer_behind_the_first_list() {
     let mut behind = Directory::default();
-    behind.take_list(5, vec![listed(3, 1), listed(4, 2)], None);
+    behind.apply_list(5, vec![listed(3, 1), listed(4, 2)], None);
     // Server 1 went at 7, before this list was read.
     let mut later = Directory::default();
-    later.take_list(9, vec![listed(4, 2), listed(8, 3)], None);
+    later.apply_list(9, vec![listed(4, 2), listed(8, 3)], None);
     behind.merge(later.changes_after(behind.position(), NOW), NOW);
     assert_eq!(names(&behind), ["s2", "s3"]);
 }
@@ -218,9 +218,9 @@
 #[test]
 fn changes_after_only_what_is_lacking() {
     let mut directory = Directory::default();
-    directory.take_list(10, vec![listed(5, 1), listed(6, 2)], None);
+    directory.apply_list(10, vec![listed(5, 1), listed(6, 2)], None);
     directory.apply(11, Change::Put(record(2, ServerState::Leaving)), None);
-    directory.reached(11);
+    directory.advance_position(11);
     let changes = directory.changes_after(10, NOW);
     assert!(!changes.is_whole);
     assert_eq!(changes.puts.len(), 1);
@@ -266,7 +266,7 @@
             (Directory::default(), Directory::default(), Directory::default());
         for (step, (revision, change)) in events.into_iter().enumerate() {
             first.apply(revision, change, None);
-            first.reached(revision);
+            first.advance_position(revision);
             if step == cut {
                 peer.merge(first.changes_after(peer.position(), NOW), NOW);
             }
@@ -302,7 +302,7 @@
             };
             events.push((revision, change.clone()));
             follower.apply(revision, change, None);
-            follower.reached(revision);
+            follower.advance_position(revision);
             if step == cut {
                 puller.merge(follower.changes_after(puller.position(), NOW), NOW);
             }
--- a/crates/galenapath-routes/tests/evacuations.rs
+++ b/crates/galenapath-routes/tests/evacuations.rs
@@ -34,7 +34,7 @@
     assert!(!evacuations.apply(mark("a", 10, true)));
     assert!(!has(&evacuations, "a"));
     // Nor one from before a read of all that did not show it.
-    evacuations.take_all(30, Vec::new());
+    evacuations.apply_snapshot(30, Vec::new());
     assert!(!evacuations.apply(mark("b", 25, true)));
     assert!(!has(&evacuations, "b"));
     assert!(evacuations.apply(mark("b", 31, true)));
@@ -45,11 +45,11 @@
     let mut evacuations = Evacuations::default();
     evacuations.apply(mark("a", 10, true));
     evacuations.apply(mark("b", 40, true));
-    let changed = evacuations.take_all(30, vec![mark("c", 28, true)]);
+    let changed = evacuations.apply_snapshot(30, vec![mark("c", 28, true)]);
     assert_eq!(changed, [mark("a", 30, false), mark("c", 28, true)]);
     // Evacuated after the read.
     assert!(has(&evacuations, "b"));
-    assert!(evacuations.take_all(30, vec![mark("c", 28, true)]).is_empty());
+    assert!(evacuations.apply_snapshot(30, vec![mark("c", 28, true)]).is_empty());
 }
 
 proptest! {
--- a/crates/galenapath-routes/tests/table.rs
+++ b/crates/galenapath-routes/tests/table.rs
@@ -14,7 +14,7 @@
         host: host.into(),
         prefix: prefix.into(),
         kind: RouteKind::Idempotent,
-        parts: vec![WeightedService { service: service.into(), weight: 1 }],
+        services: vec![WeightedService { service: service.into(), weight: 1 }],
         timeout: Duration::from_secs(1),
         target: Duration::from_millis(400),
         max_attempts: 2,
@@ -62,6 +62,6 @@
         assert!(matches!(bad, TableError::BadPrefix { .. }), "{prefix}");
     }
     let mut nowhere = route("r", "h", "/", "s");
-    nowhere.parts[0].weight = 0;
+    nowhere.services[0].weight = 0;
     assert_eq!(table(vec![nowhere]).unwrap_err(), TableError::NoWeightedService("r".into()));
 }
