--- a/crates/galenapath-membership/src/gossip_membership.rs
+++ b/crates/galenapath-membership/src/gossip_membership.rs
@@ -159,8 +159,8 @@
     }
 
     /// Merges updates from a peer or from the platform's list.
-    pub fn merge(&mut self, now: Micros, news: &[Member]) {
-        for member in news {
+    pub fn merge(&mut self, now: Micros, updates: &[Member]) {
+        for member in updates {
             self.merge_one(now, member);
         }
     }
@@ -220,30 +220,31 @@
         self.update_own(now, MemberStatus::Leaving, 0);
     }
 
-    fn merge_one(&mut self, now: Micros, news: &Member) {
-        if news.incarnation == self.own {
-            self.refute(now, news);
+    fn merge_one(&mut self, now: Micros, update: &Member) {
+        if update.incarnation == self.own {
+            self.refute(now, update);
             return;
         }
-        match self.entries.get_mut(&news.incarnation) {
-            Some(known) if news.is_newer_than(&known.member) => self.store(now, news.clone()),
+        match self.entries.get_mut(&update.incarnation) {
+            Some(known) if update.is_newer_than(&known.member) => self.store(now, update.clone()),
             // A peer still holds the old entry, so the tombstone is still needed.
-            Some(known) if news.status != MemberStatus::Gone => known.extend_tombstone(now),
+            Some(known) if update.status != MemberStatus::Gone => known.extend_tombstone(now),
             Some(_) => {}
             // An incarnation that was never known here as present needs no tombstone. If it were
             // stored, every new instance would create tombstones anew and send them to instances
             // that had already dropped them.
-            None if news.status == MemberStatus::Gone => {}
-            None => self.store(now, news.clone()),
+            None if update.status == MemberStatus::Gone => {}
+            None => self.store(now, update.clone()),
         }
     }
 
-    /// Speaks against news that calls the instance itself anything worse than it is.
-    fn refute(&mut self, now: Micros, news: &Member) {
+    /// Raises the own status version above that of an update that reports another status for this
+    /// instance.
+    fn refute(&mut self, now: Micros, update: &Member) {
         let Some(own) = self.own() else { return };
-        if news.is_newer_than(own) {
+        if update.is_newer_than(own) {
             let status = own.status;
-            self.update_own(now, status, news.status_version);
+            self.update_own(now, status, update.status_version);
         }
     }
 
@@ -274,7 +275,7 @@
         self.gossip_queue.push(incarnation, self.cfg.sends_per_doubling * self.doublings());
     }
 
-    /// The number of members as a power of two, rounded up to a whole exponent.
+    /// Number of doublings from one to the number of members, rounded up; at least one.
     fn doublings(&self) -> u32 {
         (usize::BITS - self.entries.len().leading_zeros()).max(1)
     }
--- a/crates/galenapath-membership/src/heartbeat_config.rs
+++ b/crates/galenapath-membership/src/heartbeat_config.rs
@@ -36,7 +36,8 @@
     pub min_sync_interval: Micros,
     /// Time for which all heartbeats of one instance may differ before it is asked for its members
     /// even though others agree. Otherwise two groups that each agree internally would stay apart.
-    /// Longer than a series of restarts makes two instances differ without interruption.
+    /// Has to exceed the time for which a series of restarts makes two digests differ without
+    /// interruption.
     pub max_peer_difference: Micros,
     /// Minimum time between two requests of that kind.
     pub min_peer_sync_interval: Micros,
--- a/crates/galenapath-membership/src/heartbeat_membership.rs
+++ b/crates/galenapath-membership/src/heartbeat_membership.rs
@@ -185,29 +185,29 @@
         self.ticked_at = now;
         if pause > self.cfg.max_tick_gap {
             for peer in self.peers.values_mut() {
-                peer.last_heard_at = now;
+                peer.last_contact_at = now;
             }
         }
         let cfg = &self.cfg;
         let known = self.peers.len();
-        self.peers.retain(|_, peer| now - peer.last_heard_at < cfg.forget_after);
+        self.peers.retain(|_, peer| now - peer.last_contact_at < cfg.forget_after);
         self.are_targets_current &= self.peers.len() == known;
         self.update_targets();
         let monitored = &self.monitored;
-        let silent = |peer: &Peer| now - peer.last_heard_at > self.cfg.silent_after;
+        let silent = |peer: &Peer| now - peer.last_contact_at > self.cfg.silent_after;
         let silent_count =
             self.peers.iter().filter(|(id, p)| monitored.contains(*id) && silent(p)).count();
         self.is_isolated = monitored.len() > 2 && silent_count * 2 > monitored.len();
         let mut changes = Vec::new();
         for (id, peer) in &mut self.peers {
-            let silence = now - peer.last_heard_at;
+            let silence = now - peer.last_contact_at;
             peer.accusers.retain(|_, at| now - *at < self.cfg.accusation_ttl);
             let is_own = monitored.contains(id);
             let is_up = if is_own {
                 silence <= self.cfg.silent_after
             } else {
-                // Accusations are sent once and expire. The instance stays down until it is heard
-                // from.
+                // Accusations are sent once and expire. The instance stays down until a message
+                // from it arrives.
                 !peer.awaits_contact && peer.accusers.len() < self.cfg.required_accusers
             };
             if is_up != peer.is_up {
@@ -232,7 +232,7 @@
     /// Longest silence among the monitored instances that are considered up.
     pub fn longest_silence(&self, now: Micros) -> Micros {
         let monitored = self.peers.iter().filter(|(id, p)| p.is_up && self.monitored.contains(*id));
-        monitored.map(|(_, peer)| now - peer.last_heard_at).max().unwrap_or(Micros::ZERO)
+        monitored.map(|(_, peer)| now - peer.last_contact_at).max().unwrap_or(Micros::ZERO)
     }
 
     /// Monitored instances that are silent, to be reported in heartbeats. Empty while this instance
--- a/crates/galenapath-membership/src/peer.rs
+++ b/crates/galenapath-membership/src/peer.rs
@@ -32,14 +32,14 @@
 /// Another instance.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Who it is.
+    /// Identity and addresses.
     pub member: Member,
     /// Status that it last reported.
     pub status: InstanceStatus,
-    pub(crate) last_heard_at: Micros,
+    pub(crate) last_contact_at: Micros,
     pub(crate) last_sent_at: Micros,
     pub(crate) is_up: bool,
-    /// Whether it is considered down and has not been heard from since.
+    /// Whether it is considered down and no message from it has arrived since.
     pub(crate) awaits_contact: bool,
     /// Since when each of its heartbeats has had another digest than this instance.
     pub(crate) differs_since: Option<Micros>,
@@ -52,7 +52,7 @@
     pub(crate) fn new(now: Micros, member: Member) -> Self {
         Self {
             status: InstanceStatus::default(),
-            last_heard_at: now,
+            last_contact_at: now,
             last_sent_at: Micros::ZERO,
             is_up: member.status != MemberStatus::Gone,
             awaits_contact: false,
@@ -69,7 +69,7 @@
 
     /// Records a message from the instance itself.
     pub(crate) fn record_contact(&mut self, now: Micros) {
-        self.last_heard_at = now;
+        self.last_contact_at = now;
         self.accusers.clear();
         self.awaits_contact = false;
     }
--- a/crates/galenapath-membership/src/tracked_list.rs
+++ b/crates/galenapath-membership/src/tracked_list.rs
@@ -116,8 +116,8 @@
         Some(ListDelta { from: after, to: self.position, put, removed })
     }
 
-    /// Applies a delta from a peer. Returns whether the list changed its position. A delta that is
-    /// old, or that starts from another position, is ignored.
+    /// Applies a delta from a peer. A delta that is old, or that starts from another position, is
+    /// ignored. Returns whether it was applied.
     pub fn apply(&mut self, delta: ListDelta<T>) -> bool {
         let fits = delta.from == 0 || delta.from == self.position;
         if delta.to <= self.position || !fits {
--- a/crates/galenapath-membership/tests/fleet.rs
+++ b/crates/galenapath-membership/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet whose instances are restarted in turn while datagrams get lost: everybody comes to believe in
-//! everybody again.
+//! A fleet whose instances are restarted in turn while datagrams are lost: all instances must
+//! consider all others up again afterwards.
 
 use galenapath_membership::{
     Heartbeat, HeartbeatConfig, HeartbeatMembership, HeartbeatOutcome, InstanceStatus,
@@ -12,14 +12,14 @@
 
 const INSTANCES: usize = 40;
 const STEP: Micros = Micros::from_millis(50);
-/// Part of the datagrams that get lost.
+/// Share of the datagrams that are lost.
 const LOSS: f64 = 0.05;
 
-/// Whether an instance whose set of instances differs from the others' asks.
+/// What an instance does when its digest differs from those of the others.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Differing {
-    Asks,
-    Ignores,
+enum OnDifference {
+    RequestMembers,
+    Ignore,
 }
 
 struct Fleet {
@@ -27,9 +27,9 @@
     nodes: Vec<HeartbeatMembership>,
     members: Vec<Member>,
     rng: SmallRng,
-    differing: Differing,
-    /// When each last answered an accusation.
-    answered: FastMap<usize, Micros>,
+    on_difference: OnDifference,
+    /// When each instance last refuted an accusation.
+    refuted_at: FastMap<usize, Micros>,
 }
 
 fn address(n: usize) -> SocketAddr {
@@ -37,24 +37,24 @@
 }
 
 impl Fleet {
-    fn start(seed: u64, differing: Differing) -> Self {
+    fn start(seed: u64, on_difference: OnDifference) -> Self {
         let (now, rng) = (Micros::from_secs(100), SmallRng::seed_from_u64(seed));
         let mut fleet = Self {
             now,
             nodes: Vec::new(),
             members: Vec::new(),
             rng,
-            differing,
-            answered: FastMap::default(),
+            on_difference,
+            refuted_at: FastMap::default(),
         };
         for n in 0..INSTANCES {
             let member = fleet.new_member(n);
-            fleet.nodes.push(fleet.beats(&member));
+            fleet.nodes.push(fleet.new_membership(&member));
             fleet.members.push(member);
         }
         for n in 0..INSTANCES {
-            fleet.ask(n, (n + 1) % INSTANCES);
-            fleet.ask(n, 0);
+            fleet.request_members(n, (n + 1) % INSTANCES);
+            fleet.request_members(n, 0);
         }
         fleet
     }
@@ -71,7 +71,7 @@
         }
     }
 
-    fn beats(&self, member: &Member) -> HeartbeatMembership {
+    fn new_membership(&self, member: &Member) -> HeartbeatMembership {
         HeartbeatMembership::new(
             HeartbeatConfig::default(),
             member.incarnation,
@@ -84,14 +84,14 @@
         self.rng.random_bool(LOSS)
     }
 
-    /// `from` asks `to` who is there, and makes itself known to those that it then hears of.
-    fn ask(&mut self, from: usize, to: usize) {
+    /// `from` requests the members that `to` knows and introduces itself to those that are new.
+    fn request_members(&mut self, from: usize, to: usize) {
         if from == to || self.is_lost() {
             return;
         }
-        let asking = self.members[from].clone();
-        self.nodes[to].learn(self.now, asking.clone());
-        self.nodes[to].record_contact(self.now, asking.incarnation);
+        let requester = self.members[from].clone();
+        self.nodes[to].learn(self.now, requester.clone());
+        self.nodes[to].record_contact(self.now, requester.incarnation);
         let mut known: Vec<Member> =
             self.nodes[to].peers().filter(|p| p.is_up()).map(|p| p.member.clone()).collect();
         known.push(self.members[to].clone());
@@ -101,13 +101,13 @@
             if learned == LearnOutcome::Known || other == to || self.is_lost() {
                 continue;
             }
-            if self.nodes[other].learn(self.now, asking.clone()) != LearnOutcome::New {
-                self.tell(other, from);
+            if self.nodes[other].learn(self.now, requester.clone()) != LearnOutcome::New {
+                self.send_heartbeat(other, from);
             }
         }
     }
 
-    fn beat_of(&self, n: usize) -> Heartbeat {
+    fn heartbeat_of(&self, n: usize) -> Heartbeat {
         Heartbeat {
             from: self.members[n].incarnation,
             status: InstanceStatus::default(),
@@ -117,28 +117,30 @@
     }
 
     /// `from` sends `to` a heartbeat.
-    fn tell(&mut self, from: usize, to: usize) {
+    fn send_heartbeat(&mut self, from: usize, to: usize) {
         if self.is_lost() {
             return;
         }
-        let beat = self.beat_of(from);
-        match self.nodes[to].apply_heartbeat(self.now, &beat) {
+        let heartbeat = self.heartbeat_of(from);
+        match self.nodes[to].apply_heartbeat(self.now, &heartbeat) {
             HeartbeatOutcome::Known => {}
-            HeartbeatOutcome::AccusesUs => self.answer_accusation(to),
-            HeartbeatOutcome::ViewDiffers if self.differing == Differing::Ignores => {}
-            HeartbeatOutcome::UnknownSender | HeartbeatOutcome::ViewDiffers => self.ask(to, from),
+            HeartbeatOutcome::AccusesUs => self.refute_accusation(to),
+            HeartbeatOutcome::ViewDiffers if self.on_difference == OnDifference::Ignore => {}
+            HeartbeatOutcome::UnknownSender | HeartbeatOutcome::ViewDiffers => {
+                self.request_members(to, from)
+            }
         }
     }
 
-    /// `n` tells all that it is there, but not twice within half a second.
-    fn answer_accusation(&mut self, n: usize) {
-        let last = self.answered.get(&n).copied().unwrap_or_default();
+    /// `n` sends heartbeats to all others, at most once in half a second.
+    fn refute_accusation(&mut self, n: usize) {
+        let last = self.refuted_at.get(&n).copied().unwrap_or_default();
         if self.now - last < Micros::from_millis(500) {
             return;
         }
-        self.answered.insert(n, self.now);
+        self.refuted_at.insert(n, self.now);
         for to in self.nodes[n].all_addresses() {
-            self.tell(n, usize::from(to.port() - 2_000));
+            self.send_heartbeat(n, usize::from(to.port() - 2_000));
         }
     }
 
@@ -150,73 +152,78 @@
             }
         }
         self.members[n] = self.new_member(n);
-        self.nodes[n] = self.beats(&self.members[n]);
-        self.ask(n, (n + 1) % INSTANCES);
-        self.ask(n, (n + 2) % INSTANCES);
+        self.nodes[n] = self.new_membership(&self.members[n]);
+        self.request_members(n, (n + 1) % INSTANCES);
+        self.request_members(n, (n + 2) % INSTANCES);
     }
 
-    fn pass(&mut self, span: Micros) {
+    fn advance_time(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + STEP;
             for n in 0..INSTANCES {
-                self.beat(n);
+                self.run_step(n);
             }
         }
     }
 
-    fn beat(&mut self, n: usize) {
-        // Whoever knows nobody asks its seeds again, as both questions at its start may be lost.
+    fn run_step(&mut self, n: usize) {
+        // An instance without peers asks its seeds again: both requests at its start may be lost.
         if self.nodes[n].is_alone() {
-            self.ask(n, (n + 1) % INSTANCES);
+            self.request_members(n, (n + 1) % INSTANCES);
         }
         let changes = self.nodes[n].tick(self.now);
-        // What an instance finds itself it tells all.
+        // Changes that an instance detects itself are sent to all.
         let to = if changes.iter().any(|change| change.is_detected_here) {
             self.nodes[n].reachable_addresses()
         } else {
             self.nodes[n].heartbeats_due(self.now, false)
         };
         for to in to {
-            self.tell(n, usize::from(to.port() - 2_000));
+            self.send_heartbeat(n, usize::from(to.port() - 2_000));
         }
     }
 
-    /// Pairs of which the first does not believe in the second.
-    fn disbeliefs(&self) -> usize {
-        let believed = |node: &HeartbeatMembership| -> FastMap<Incarnation, bool> {
+    /// Number of pairs of which the first does not consider the second up.
+    fn missing_links(&self) -> usize {
+        let considered_up = |node: &HeartbeatMembership| -> FastMap<Incarnation, bool> {
             node.peers().map(|peer| (peer.member.incarnation, peer.is_up())).collect()
         };
         let count = |n: usize| {
-            let believed = believed(&self.nodes[n]);
+            let considered_up = considered_up(&self.nodes[n]);
             let others = self.members.iter().enumerate().filter(|(other, _)| *other != n);
-            others.filter(|(_, m)| believed.get(&m.incarnation) != Some(&true)).count()
+            others.filter(|(_, m)| considered_up.get(&m.incarnation) != Some(&true)).count()
         };
         (0..INSTANCES).map(count).sum()
     }
 }
 
-/// Disbeliefs left some seconds after every instance was restarted in turn.
-fn after_restarts(seed: u64, differing: Differing) -> usize {
-    let mut fleet = Fleet::start(seed, differing);
-    fleet.pass(Micros::from_secs(3));
+/// Missing links a few seconds after the restart of every instance in turn.
+fn missing_links_after_restarts(seed: u64, on_difference: OnDifference) -> usize {
+    let mut fleet = Fleet::start(seed, on_difference);
+    fleet.advance_time(Micros::from_secs(3));
     for n in 0..INSTANCES {
         fleet.restart(n);
-        fleet.pass(Micros::from_millis(300));
+        fleet.advance_time(Micros::from_millis(300));
     }
-    fleet.pass(Micros::from_secs(12));
-    fleet.disbeliefs()
+    fleet.advance_time(Micros::from_secs(12));
+    fleet.missing_links()
 }
 
 #[test]
-fn restarts_in_turn_all_believe_in_all() {
+fn restarts_in_turn_views_converge() {
     for seed in 1..=3 {
-        assert_eq!(after_restarts(seed, Differing::Asks), 0, "seed {seed}");
+        assert_eq!(
+            missing_links_after_restarts(seed, OnDifference::RequestMembers),
+            0,
+            "seed {seed}"
+        );
     }
 }
 
 #[test]
-fn restarts_in_turn_without_digests_leave_gaps() {
-    let left: usize = (1..=3).map(|seed| after_restarts(seed, Differing::Ignores)).sum();
-    assert!(left > 20, "the digests would not be needed: {left}");
+fn restarts_in_turn_views_differ_without_digests() {
+    let left: usize =
+        (1..=3).map(|seed| missing_links_after_restarts(seed, OnDifference::Ignore)).sum();
+    assert!(left > 20, "the views converge without digests: {left} missing links");
 }
--- a/crates/galenapath-membership/tests/gossip.rs
+++ b/crates/galenapath-membership/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Many tables on a virtual network.
+//! Many gossip tables on a simulated network.
 
 mod network;
 
@@ -11,8 +11,8 @@
     Micros::from_millis(500 * n)
 }
 
-/// Time in which a death, a return or a leaving is known to all: probe, timeout, suspicion of
-/// 3 s, gossip. 30 intervals are 15 s.
+/// Time limit for a failure, a return or a departure to be known to all: probe, timeout, suspicion
+/// of 3 s, gossip. 30 intervals are 15 s.
 const KNOWN_TO_ALL: Micros = intervals(30);
 
 fn incarnation(network: &Network, node: usize) -> Incarnation {
@@ -32,7 +32,7 @@
         network.run(Micros::from_secs(5));
         let dead = incarnation(&network, count - 1);
         network.nodes[count - 1].is_up = false;
-        let took = network.run_until(KNOWN_TO_ALL, |n| n.all_think(dead, Gone));
+        let took = network.run_until(KNOWN_TO_ALL, |n| n.all_have_status(dead, Gone));
         println!("{count} instances, loss {loss}%: death known to all after {took:?}");
         assert!(took.is_some(), "{count} instances, loss {loss}%");
     }
@@ -46,7 +46,7 @@
     network.run(Micros::from_secs(5));
     let dead = incarnation(&network, newcomer);
     network.nodes[newcomer].is_up = false;
-    let took = network.run_until(KNOWN_TO_ALL, |n| n.all_think(dead, Gone));
+    let took = network.run_until(KNOWN_TO_ALL, |n| n.all_have_status(dead, Gone));
     println!("death of a newcomer known to 100 after {took:?}");
     assert!(took.is_some());
 }
@@ -57,15 +57,15 @@
     network.run(Micros::from_secs(2));
     let paused = incarnation(&network, 3);
     network.nodes[3].is_paused = true;
-    assert!(network.run_until(KNOWN_TO_ALL, |n| n.all_think(paused, Gone)).is_some());
+    assert!(network.run_until(KNOWN_TO_ALL, |n| n.all_have_status(paused, Gone)).is_some());
     network.nodes[3].is_paused = false;
-    assert!(network.run_until(KNOWN_TO_ALL, |n| n.all_think(paused, Live)).is_some());
+    assert!(network.run_until(KNOWN_TO_ALL, |n| n.all_have_status(paused, Live)).is_some());
     let others: Vec<Incarnation> = network.nodes.iter().map(|node| node.incarnation).collect();
-    let is_settled = |n: &Network| others.iter().all(|&other| n.all_think(other, Live));
+    let is_settled = |n: &Network| others.iter().all(|&other| n.all_have_status(other, Live));
     assert!(network.run_until(KNOWN_TO_ALL, is_settled).is_some());
 }
 
-/// A cut between two members must not take either from the others.
+/// A network cut between two members must not make the others consider either gone.
 #[test]
 fn refute_cut_between_two_unnoticed() {
     for (count, seed) in [(16, 10), (64, 11), (400, 12)] {
@@ -76,15 +76,15 @@
         let mut gone = 0;
         for _ in 0..1_200 {
             network.run(Micros::from_millis(100));
-            gone += network.opinions(first).filter(|&o| o == Some(Gone)).count();
-            gone += network.opinions(second).filter(|&o| o == Some(Gone)).count();
+            gone += network.statuses_of(first).filter(|&o| o == Some(Gone)).count();
+            gone += network.statuses_of(second).filter(|&o| o == Some(Gone)).count();
         }
-        println!("{count} instances, cut between two: thought gone in {gone} looks");
+        println!("{count} instances, cut between two: considered gone in {gone} checks");
         assert_eq!(gone, 0, "{count} instances");
     }
 }
 
-/// Lost messages alone take nobody out.
+/// Message loss alone makes no member gone.
 #[test]
 fn refute_loss_survived() {
     let mut network = Network::new(13, 64);
@@ -93,9 +93,10 @@
     for _ in 0..600 {
         network.run(Micros::from_millis(100));
         let all: Vec<Incarnation> = network.nodes.iter().map(|node| node.incarnation).collect();
-        gone += all.iter().flat_map(|&i| network.opinions(i)).filter(|&o| o == Some(Gone)).count();
+        gone +=
+            all.iter().flat_map(|&i| network.statuses_of(i)).filter(|&o| o == Some(Gone)).count();
     }
-    println!("64 instances, loss 5%: thought gone in {gone} of 2419200 looks");
+    println!("64 instances, loss 5%: considered gone in {gone} of 2419200 checks");
     assert_eq!(gone, 0);
 }
 
@@ -123,16 +124,16 @@
     let old = incarnation(&network, 5);
     network.restart(5, 1);
     let new = incarnation(&network, 5);
-    let is_replaced = |n: &Network| n.all_think(old, Gone) && n.all_think(new, Live);
+    let is_replaced = |n: &Network| n.all_have_status(old, Gone) && n.all_have_status(new, Live);
     assert!(network.run_until(KNOWN_TO_ALL, is_replaced).is_some());
-    // The platform's list lags by far more than gone members are kept.
+    // The platform's list may lag by far more than the time for which gone members are kept.
     for _ in 0..150 {
         network.run(Micros::from_secs(10));
         let now = network.now;
         for node in &mut network.nodes {
             node.members.merge(now, &[member(5, 0)]);
         }
-        assert!(network.all_think(old, Gone));
+        assert!(network.all_have_status(old, Gone));
     }
 }
 
@@ -143,20 +144,20 @@
     let leaving = incarnation(&network, 2);
     let now = network.now;
     network.nodes[2].members.leave(now);
-    assert!(network.run_until(KNOWN_TO_ALL, |n| n.all_think(leaving, Leaving)).is_some());
+    assert!(network.run_until(KNOWN_TO_ALL, |n| n.all_have_status(leaving, Leaving)).is_some());
     for _ in 0..30 {
         network.run(Micros::from_secs(1));
         let now = network.now;
         network.nodes[4].members.merge(now, &[member(2, 0)]);
-        assert!(network.all_think(leaving, Leaving));
+        assert!(network.all_have_status(leaving, Leaving));
     }
     network.nodes[2].is_up = false;
-    let took = network.run_until(KNOWN_TO_ALL, |n| n.all_think(leaving, Gone));
+    let took = network.run_until(KNOWN_TO_ALL, |n| n.all_have_status(leaving, Gone));
     println!("stop of a leaving member known to 16 after {took:?}");
     assert!(took.is_some());
 }
 
-/// Replacements over a long time leave nothing behind.
+/// Replacements over a long time do not let the table grow.
 #[test]
 fn tick_replacements_memory_bounded() {
     let mut network = Network::new(17, 16);
@@ -174,14 +175,15 @@
     }
     let largest = network.nodes.iter().map(|node| node.members.all().count()).max();
     println!("99 replacements in 33 min: largest table {largest:?}");
-    // Those that run, and the 30 or so replaced within the 600 s that gone ones are kept.
+    // The running ones, and about 30 that were replaced within the 600 s for which gone ones are
+    // kept.
     let running = network.nodes.iter().filter(|node| node.is_up).count();
     assert!(largest <= Some(running + 36), "{largest:?} with {running} running");
     assert!(network.largest_message <= 10);
     assert!(own_is_usable_everywhere(&network));
 }
 
-/// An instance that does not read the list hears of a newcomer that the others have from it.
+/// An instance that does not read the list learns of a new one that the others know from it.
 #[test]
 fn learn_newcomer_reaches_those_without_list() {
     let mut network = Network::new(18, 64);
@@ -192,7 +194,7 @@
         node.members.learn(now, &[member(newcomer, 0)]);
     }
     let joined = incarnation(&network, newcomer);
-    let took = network.run_until(KNOWN_TO_ALL, |n| n.all_think(joined, Live));
+    let took = network.run_until(KNOWN_TO_ALL, |n| n.all_have_status(joined, Live));
     println!("a newcomer on the list is known to one without it after {took:?}");
     assert!(took.is_some());
 }
--- a/crates/galenapath-membership/tests/heartbeats.rs
+++ b/crates/galenapath-membership/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: who counts as there, and who watches the store.
+//! Heartbeats: which instances are considered up, and which watch the store.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -28,309 +28,328 @@
     }
 }
 
-fn beats(own: u64, others: impl Iterator<Item = u64>) -> HeartbeatMembership {
-    let mut beats =
+fn membership(own: u64, others: impl Iterator<Item = u64>) -> HeartbeatMembership {
+    let mut membership =
         HeartbeatMembership::new(HeartbeatConfig::default(), Incarnation(own), domain(own), START);
     for n in others.filter(|n| *n != own) {
-        beats.learn(START, member(n));
+        membership.learn(START, member(n));
     }
-    beats
+    membership
 }
 
-fn beat(from: u64, accused: &[u64]) -> Heartbeat {
+fn heartbeat(from: u64, accused: &[u64]) -> Heartbeat {
     let status = InstanceStatus { is_ready: true, ..InstanceStatus::default() };
     let accused = accused.iter().map(|n| Incarnation(*n)).collect();
     Heartbeat { from: Incarnation(from), status, accused, digest: 0 }
 }
 
-fn peer(beats: &HeartbeatMembership, n: u64) -> Peer {
-    beats.peers().find(|peer| peer.member.incarnation == Incarnation(n)).cloned().unwrap()
+fn peer(membership: &HeartbeatMembership, n: u64) -> Peer {
+    membership.peers().find(|peer| peer.member.incarnation == Incarnation(n)).cloned().unwrap()
 }
 
-/// Lets time pass in steps; those in `heard` send heartbeats.
-fn pass(beats: &mut HeartbeatMembership, from: Micros, ms: u64, heard: &[u64]) -> Micros {
+/// Advances the time in steps of 50 ms, with heartbeats from `senders` at each step.
+fn advance_time(
+    membership: &mut HeartbeatMembership,
+    from: Micros,
+    ms: u64,
+    senders: &[u64],
+) -> Micros {
     let mut now = from;
     for _ in 0..ms / 50 {
         now = now + Micros::from_millis(50);
-        for n in heard {
-            beats.apply_heartbeat(now, &beat(*n, &[]));
+        for n in senders {
+            membership.apply_heartbeat(now, &heartbeat(*n, &[]));
         }
-        beats.tick(now);
+        membership.tick(now);
     }
     now
 }
 
 #[test]
-fn tick_silent_left_out_within_a_second() {
-    let mut beats = beats(0, 0..16);
+fn tick_silent_peer_removed_within_a_second() {
+    let mut membership = membership(0, 0..16);
     let all: Vec<u64> = (1..16).collect();
-    let now = pass(&mut beats, START, 1_000, &all);
-    assert!(peer(&beats, 7).is_usable());
+    let now = advance_time(&mut membership, START, 1_000, &all);
+    assert!(peer(&membership, 7).is_usable());
     let others: Vec<u64> = (1..16).filter(|n| *n != 7).collect();
-    let now = pass(&mut beats, now, 1_000, &others);
-    assert!(!peer(&beats, 7).is_usable());
-    assert_eq!(beats.accused(), [Incarnation(7)]);
-    pass(&mut beats, now, 100, &all);
-    assert!(peer(&beats, 7).is_usable());
+    let now = advance_time(&mut membership, now, 1_000, &others);
+    assert!(!peer(&membership, 7).is_usable());
+    assert_eq!(membership.accused(), [Incarnation(7)]);
+    advance_time(&mut membership, now, 100, &all);
+    assert!(peer(&membership, 7).is_usable());
 }
 
 #[test]
-fn tick_own_sleep_accuses_nobody() {
-    let mut beats = beats(0, 0..16);
+fn tick_own_suspension_accuses_none() {
+    let mut membership = membership(0, 0..16);
     let all: Vec<u64> = (1..16).collect();
-    let now = pass(&mut beats, START, 500, &all);
-    assert!(beats.tick(now + Micros::from_secs(5)).is_empty());
-    assert!(beats.accused().is_empty());
+    let now = advance_time(&mut membership, START, 500, &all);
+    assert!(membership.tick(now + Micros::from_secs(5)).is_empty());
+    assert!(membership.accused().is_empty());
 }
 
 #[test]
-fn accused_by_an_observer_cut_off_is_nobody() {
-    let mut beats = beats(0, 0..16);
+fn accused_empty_while_isolated() {
+    let mut membership = membership(0, 0..16);
     let all: Vec<u64> = (1..16).collect();
-    let now = pass(&mut beats, START, 500, &all);
-    pass(&mut beats, now, 2_000, &[3]);
-    assert!(beats.is_isolated());
-    assert!(beats.accused().is_empty());
+    let now = advance_time(&mut membership, START, 500, &all);
+    advance_time(&mut membership, now, 2_000, &[3]);
+    assert!(membership.is_isolated());
+    assert!(membership.accused().is_empty());
 }
 
 #[test]
-fn tick_unmonitored_believed_gone_by_two() {
-    let mut beats = beats(0, 0..60);
+fn tick_unmonitored_down_after_two_accusers() {
+    let mut membership = membership(0, 0..60);
     let monitored: Vec<u64> = (45..60).collect();
-    let now = pass(&mut beats, START, 500, &monitored);
-    // Nothing is heard of instance 20, which sends its heartbeats to others.
-    let now = pass(&mut beats, now, 2_000, &monitored);
-    assert!(peer(&beats, 20).is_up());
-    beats.apply_heartbeat(now, &beat(50, &[20]));
-    beats.tick(now);
-    assert!(peer(&beats, 20).is_up(), "one accuser may be cut off itself");
-    beats.apply_heartbeat(now, &beat(51, &[20]));
-    beats.tick(now);
-    assert!(!peer(&beats, 20).is_up());
-    beats.apply_heartbeat(now, &beat(20, &[]));
-    beats.tick(now);
-    assert!(peer(&beats, 20).is_up());
+    let now = advance_time(&mut membership, START, 500, &monitored);
+    // No heartbeat of instance 20 arrives: it sends them to others.
+    let now = advance_time(&mut membership, now, 2_000, &monitored);
+    assert!(peer(&membership, 20).is_up());
+    membership.apply_heartbeat(now, &heartbeat(50, &[20]));
+    membership.tick(now);
+    assert!(peer(&membership, 20).is_up(), "a single accuser may be cut off itself");
+    membership.apply_heartbeat(now, &heartbeat(51, &[20]));
+    membership.tick(now);
+    assert!(!peer(&membership, 20).is_up());
+    membership.apply_heartbeat(now, &heartbeat(20, &[]));
+    membership.tick(now);
+    assert!(peer(&membership, 20).is_up());
 }
 
 #[test]
-fn tick_accused_stays_gone_until_heard() {
-    let mut beats = beats(0, 0..60);
+fn tick_accused_stays_down_until_contact() {
+    let mut membership = membership(0, 0..60);
     let monitored: Vec<u64> = (45..60).collect();
-    let now = pass(&mut beats, START, 500, &monitored);
-    beats.apply_heartbeat(now, &beat(50, &[20]));
-    beats.apply_heartbeat(now, &beat(51, &[20]));
-    // Nobody repeats the accusation, and the instance is not heard.
-    let now = pass(&mut beats, now, 10_000, &monitored);
-    assert!(!peer(&beats, 20).is_up());
-    beats.apply_heartbeat(now + Micros(1), &beat(20, &[]));
-    beats.tick(now + Micros(1));
-    assert!(peer(&beats, 20).is_up());
+    let now = advance_time(&mut membership, START, 500, &monitored);
+    membership.apply_heartbeat(now, &heartbeat(50, &[20]));
+    membership.apply_heartbeat(now, &heartbeat(51, &[20]));
+    // The accusation is not repeated, and no heartbeat of the instance arrives.
+    let now = advance_time(&mut membership, now, 10_000, &monitored);
+    assert!(!peer(&membership, 20).is_up());
+    membership.apply_heartbeat(now + Micros(1), &heartbeat(20, &[]));
+    membership.tick(now + Micros(1));
+    assert!(peer(&membership, 20).is_up());
 }
 
 #[test]
-fn hear_own_accusation_answered() {
-    let mut beats = beats(0, 0..60);
-    assert_eq!(beats.apply_heartbeat(START, &beat(50, &[7])), HeartbeatOutcome::Known);
-    assert_eq!(beats.apply_heartbeat(START, &beat(50, &[0])), HeartbeatOutcome::AccusesUs);
+fn apply_heartbeat_own_accusation_reported() {
+    let mut membership = membership(0, 0..60);
+    assert_eq!(membership.apply_heartbeat(START, &heartbeat(50, &[7])), HeartbeatOutcome::Known);
+    assert_eq!(
+        membership.apply_heartbeat(START, &heartbeat(50, &[0])),
+        HeartbeatOutcome::AccusesUs
+    );
 }
 
 #[test]
-fn everybody_silent_ones_answered_as_well() {
-    // Each of two takes the other for gone: an answer to those that are up would never end it.
-    let mut beats = beats(0, 0..60);
+fn all_addresses_includes_silent() {
+    // If two instances consider each other down, heartbeats to reachable ones alone would not end
+    // it.
+    let mut membership = membership(0, 0..60);
     for accuser in [50, 51] {
-        beats.apply_heartbeat(START, &beat(accuser, &[20]));
+        membership.apply_heartbeat(START, &heartbeat(accuser, &[20]));
     }
-    beats.tick(START + Micros::from_millis(50));
-    assert_eq!((beats.reachable_addresses().len(), beats.all_addresses().len()), (58, 59));
-    beats.record_contact(START, Incarnation(20));
-    beats.tick(START + Micros::from_millis(100));
-    assert_eq!(beats.reachable_addresses().len(), 59);
+    membership.tick(START + Micros::from_millis(50));
+    assert_eq!(
+        (membership.reachable_addresses().len(), membership.all_addresses().len()),
+        (58, 59)
+    );
+    membership.record_contact(START, Incarnation(20));
+    membership.tick(START + Micros::from_millis(100));
+    assert_eq!(membership.reachable_addresses().len(), 59);
 }
 
 #[test]
-fn learn_of_one_taken_for_gone_is_doubted() {
-    let mut beats = beats(0, 0..60);
-    assert_eq!(beats.learn(START, member(20)), LearnOutcome::Known);
-    beats.apply_heartbeat(START, &beat(50, &[20]));
-    beats.apply_heartbeat(START, &beat(51, &[20]));
-    beats.tick(START + Micros::from_millis(50));
-    assert_eq!(beats.learn(START, member(20)), LearnOutcome::KnownDown);
+fn learn_down_instance_known_down() {
+    let mut membership = membership(0, 0..60);
+    assert_eq!(membership.learn(START, member(20)), LearnOutcome::Known);
+    membership.apply_heartbeat(START, &heartbeat(50, &[20]));
+    membership.apply_heartbeat(START, &heartbeat(51, &[20]));
+    membership.tick(START + Micros::from_millis(50));
+    assert_eq!(membership.learn(START, member(20)), LearnOutcome::KnownDown);
 }
 
 #[test]
-fn due_mostly_at_home_in_a_large_fleet() {
-    let mut beats = beats(0, 0..120);
+fn heartbeats_due_mostly_local_in_large_fleet() {
+    let mut membership = membership(0, 0..120);
     let domain_of = |address: &SocketAddr| u64::from(address.port() - 2_000) % 3;
-    let due = beats.heartbeats_due(START + Micros::from_secs(1), false);
-    let home = due.iter().filter(|address| domain_of(address) == 0).count();
-    assert_eq!((due.len(), home), (6, 4));
+    let due = membership.heartbeats_due(START + Micros::from_secs(1), false);
+    let local = due.iter().filter(|address| domain_of(address) == 0).count();
+    assert_eq!((due.len(), local), (6, 4));
 }
 
 #[test]
-fn due_others_make_up_for_a_small_home() {
-    let mut beats =
+fn heartbeats_due_remote_fill_up_small_domain() {
+    let mut membership =
         HeartbeatMembership::new(HeartbeatConfig::default(), Incarnation(0), domain(0), START);
-    // One other instance at home, forty elsewhere.
+    // One other instance is in the own domain, forty are in others.
     for n in (0..61).filter(|n| n % 3 != 0 || *n == 30) {
-        beats.learn(START, member(n));
+        membership.learn(START, member(n));
     }
-    assert_eq!(beats.heartbeats_due(START + Micros::from_secs(1), false).len(), 6);
+    assert_eq!(membership.heartbeats_due(START + Micros::from_secs(1), false).len(), 6);
 }
 
 #[test]
-fn due_silent_ones_sought_by_few() {
-    let mut beats = beats(0, 0..120);
-    // All but those that this instance hears or is heard by were found silent.
+fn heartbeats_due_few_to_silent() {
+    let mut membership = membership(0, 0..120);
+    // All are silent except those that this instance monitors or that monitor it.
     for n in 20..100 {
-        beats.apply_heartbeat(START, &beat(118, &[n]));
-        beats.apply_heartbeat(START, &beat(119, &[n]));
+        membership.apply_heartbeat(START, &heartbeat(118, &[n]));
+        membership.apply_heartbeat(START, &heartbeat(119, &[n]));
     }
     let now = START + Micros::from_secs(2);
-    beats.tick(START + Micros::from_millis(50));
+    membership.tick(START + Micros::from_millis(50));
     assert!(
-        beats.heartbeats_due(now, false).len() <= 12,
-        "each of 80 silent ones sought by everybody"
+        membership.heartbeats_due(now, false).len() <= 12,
+        "heartbeats go to each of 80 silent instances"
     );
 }
 
 #[test]
-fn tick_domain_lost_whole_missed_by_others() {
+fn tick_lost_domain_detected_by_others() {
     let fleet = 90;
-    let gone = |n: u64| n % 3 == 1;
-    let mut all: Vec<HeartbeatMembership> = (0..fleet).map(|n| beats(n, 0..fleet)).collect();
+    let is_lost = |n: u64| n % 3 == 1;
+    let mut all: Vec<HeartbeatMembership> = (0..fleet).map(|n| membership(n, 0..fleet)).collect();
     let mut now = START;
     let mut accused: Vec<(u64, Vec<Incarnation>)> = Vec::new();
     for _ in 0..40 {
         now = now + Micros::from_millis(50);
         accused.clear();
-        for n in (0..fleet).filter(|n| !gone(*n)) {
+        for n in (0..fleet).filter(|n| !is_lost(*n)) {
             let due = all[n as usize].heartbeats_due(now, false);
             for to in due.iter().map(|address| u64::from(address.port() - 2_000)) {
-                all[to as usize].apply_heartbeat(now, &beat(n, &[]));
+                all[to as usize].apply_heartbeat(now, &heartbeat(n, &[]));
             }
         }
-        for n in (0..fleet).filter(|n| !gone(*n)) {
+        for n in (0..fleet).filter(|n| !is_lost(*n)) {
             all[n as usize].tick(now);
             accused.push((n, all[n as usize].accused()));
         }
     }
     let observer = &mut all[0];
     for (from, list) in accused {
-        observer.apply_heartbeat(now, &Heartbeat { accused: list, ..beat(from, &[]) });
+        observer.apply_heartbeat(now, &Heartbeat { accused: list, ..heartbeat(from, &[]) });
     }
     observer.tick(now);
-    let left = observer.peers().filter(|p| p.is_up() && gone(p.member.incarnation.0)).count();
+    let left = observer.peers().filter(|p| p.is_up() && is_lost(p.member.incarnation.0)).count();
     assert_eq!(left, 0);
 }
 
 #[test]
-fn due_bounded_in_a_large_fleet() {
-    let mut beats = beats(0, 0..120);
-    let all_addresses: Vec<u64> = (1..120).collect();
-    let now = pass(&mut beats, START, 100, &all_addresses);
-    assert_eq!(beats.heartbeats_due(now, false).len(), 6);
-    assert!(beats.heartbeats_due(now + Micros::from_millis(100), false).is_empty());
-    assert_eq!(beats.heartbeats_due(now + Micros::from_millis(250), false).len(), 6);
+fn heartbeats_due_bounded_in_large_fleet() {
+    let mut membership = membership(0, 0..120);
+    let all: Vec<u64> = (1..120).collect();
+    let now = advance_time(&mut membership, START, 100, &all);
+    assert_eq!(membership.heartbeats_due(now, false).len(), 6);
+    assert!(membership.heartbeats_due(now + Micros::from_millis(100), false).is_empty());
+    assert_eq!(membership.heartbeats_due(now + Micros::from_millis(250), false).len(), 6);
 }
 
 #[test]
-fn due_home_heard_more_of_those_that_serve() {
-    let mut beats = beats(0, 0..120);
-    // A third of the others are of the same failure domain.
-    assert!(beats.heartbeats_due(START + Micros::from_secs(1), true).len() > 39);
+fn heartbeats_due_serving_sends_to_whole_domain() {
+    let mut membership = membership(0, 0..120);
+    // A third of the others are in the same failure domain.
+    assert!(membership.heartbeats_due(START + Micros::from_secs(1), true).len() > 39);
 }
 
 #[test]
-fn hear_stranger_told() {
-    let mut beats = beats(0, 0..3);
-    assert_eq!(beats.apply_heartbeat(START, &beat(1, &[])), HeartbeatOutcome::Known);
-    assert_eq!(beats.apply_heartbeat(START, &beat(9, &[])), HeartbeatOutcome::UnknownSender);
+fn apply_heartbeat_unknown_sender() {
+    let mut membership = membership(0, 0..3);
+    assert_eq!(membership.apply_heartbeat(START, &heartbeat(1, &[])), HeartbeatOutcome::Known);
+    assert_eq!(
+        membership.apply_heartbeat(START, &heartbeat(9, &[])),
+        HeartbeatOutcome::UnknownSender
+    );
 }
 
 #[test]
-fn hear_other_instances_asked_when_it_lasts() {
-    let mut beats = beats(0, 0..3);
-    let same = Heartbeat { digest: beats.digest(), ..beat(1, &[]) };
-    let other = Heartbeat { digest: beats.digest() ^ 77, ..beat(2, &[]) };
-    assert_eq!(beats.apply_heartbeat(START, &same), HeartbeatOutcome::Known);
+fn apply_heartbeat_lasting_difference_reported() {
+    let mut membership = membership(0, 0..3);
+    let same = Heartbeat { digest: membership.digest(), ..heartbeat(1, &[]) };
+    let other = Heartbeat { digest: membership.digest() ^ 77, ..heartbeat(2, &[]) };
+    assert_eq!(membership.apply_heartbeat(START, &same), HeartbeatOutcome::Known);
     let later = START + Micros::from_millis(300);
     assert_eq!(
-        beats.apply_heartbeat(later, &other),
+        membership.apply_heartbeat(later, &other),
         HeartbeatOutcome::Known,
-        "a start may not be known to all yet"
+        "a start may not have reached all instances yet"
     );
     let later = START + Micros::from_millis(2_700);
-    assert_eq!(beats.apply_heartbeat(later, &other), HeartbeatOutcome::ViewDiffers);
+    assert_eq!(membership.apply_heartbeat(later, &other), HeartbeatOutcome::ViewDiffers);
     let soon = later + Micros::from_millis(300);
-    assert_eq!(beats.apply_heartbeat(soon, &other), HeartbeatOutcome::Known, "asked just now");
+    assert_eq!(
+        membership.apply_heartbeat(soon, &other),
+        HeartbeatOutcome::Known,
+        "too soon after the last request"
+    );
 }
 
 #[test]
-fn hear_one_that_differs_for_long_asked_beside_others_that_agree() {
-    let mut beats = beats(0, 0..3);
-    let same = Heartbeat { digest: beats.digest(), ..beat(1, &[]) };
-    let other = Heartbeat { digest: beats.digest() ^ 77, ..beat(2, &[]) };
-    let asked = |from: u64, to: u64, beats: &mut HeartbeatMembership| -> Vec<u64> {
+fn apply_heartbeat_long_difference_of_one_peer_reported() {
+    let mut membership = membership(0, 0..3);
+    let same = Heartbeat { digest: membership.digest(), ..heartbeat(1, &[]) };
+    let other = Heartbeat { digest: membership.digest() ^ 77, ..heartbeat(2, &[]) };
+    let asked = |from: u64, to: u64, membership: &mut HeartbeatMembership| -> Vec<u64> {
         let steps = (from..to).step_by(250);
         let at = |ms: u64| START + Micros::from_millis(ms);
         let is_asked = |ms: &u64| {
-            beats.apply_heartbeat(at(*ms), &same);
-            beats.apply_heartbeat(at(*ms), &other) == HeartbeatOutcome::ViewDiffers
+            membership.apply_heartbeat(at(*ms), &same);
+            membership.apply_heartbeat(at(*ms), &other) == HeartbeatOutcome::ViewDiffers
         };
         steps.filter(is_asked).collect()
     };
-    assert!(asked(0, 2_000, &mut beats).is_empty());
+    assert!(asked(0, 2_000, &mut membership).is_empty());
     // Eight seconds after the start at the earliest.
-    assert_eq!(asked(2_000, 12_000, &mut beats), [8_000]);
-    // One heartbeat that agrees begins the count anew.
-    beats.apply_heartbeat(
+    assert_eq!(asked(2_000, 12_000, &mut membership), [8_000]);
+    // One heartbeat with an equal digest resets the time.
+    membership.apply_heartbeat(
         START + Micros::from_millis(12_000),
         &Heartbeat { digest: same.digest, ..other.clone() },
     );
-    assert!(asked(12_250, 14_000, &mut beats).is_empty());
+    assert!(asked(12_250, 14_000, &mut membership).is_empty());
 }
 
 #[test]
-fn reads_first_left_to_larger_or_many() {
+fn reads_store_at_start_left_to_larger_or_many() {
     let answering = |n: u64, capacity: u32| {
         let status =
             InstanceStatus { store: StoreHealth::Answering, capacity, ..InstanceStatus::default() };
         Heartbeat { from: Incarnation(n), status, accused: Vec::new(), digest: 0 }
     };
-    let mut few = beats(0, 0..8);
-    assert!(reads_store_at_start(100, few.peers()), "nobody is answered");
+    let mut few = membership(0, 0..8);
+    assert!(reads_store_at_start(100, few.peers()), "the store answers no instance");
     few.apply_heartbeat(START, &answering(3, 100));
-    assert!(reads_store_at_start(100, few.peers()), "of equal size, in a small fleet");
+    assert!(reads_store_at_start(100, few.peers()), "equal capacity in a small fleet");
     few.apply_heartbeat(START, &answering(4, 500));
     assert!(!reads_store_at_start(100, few.peers()));
     assert!(reads_store_at_start(500, few.peers()));
-    let mut many = beats(0, 0..60);
+    let mut many = membership(0, 0..60);
     many.apply_heartbeat(START, &answering(3, 100));
     assert!(!reads_store_at_start(100, many.peers()));
 }
 
 #[test]
-fn learn_new_run_replaces_the_old() {
-    let mut beats = beats(0, 0..3);
+fn learn_new_incarnation_replaces_old() {
+    let mut membership = membership(0, 0..3);
     let again = Member { incarnation: Incarnation(77), ..member(2) };
-    assert_eq!(beats.learn(START, again), LearnOutcome::New);
-    assert_eq!(beats.peers().count(), 2);
-    assert!(beats.peers().any(|peer| peer.member.incarnation == Incarnation(77)));
+    assert_eq!(membership.learn(START, again), LearnOutcome::New);
+    assert_eq!(membership.peers().count(), 2);
+    assert!(membership.peers().any(|peer| peer.member.incarnation == Incarnation(77)));
 }
 
 fn roles(fleet: &[(u64, StoreHealth)]) -> Vec<(u64, WatchRole)> {
     let role = |own: u64, health: StoreHealth| {
-        let mut beats = beats(own, fleet.iter().map(|(n, _)| *n));
+        let mut membership = membership(own, fleet.iter().map(|(n, _)| *n));
         for (n, store) in fleet.iter().filter(|(n, _)| *n != own) {
             let status = InstanceStatus { store: *store, ..InstanceStatus::default() };
-            beats.apply_heartbeat(
+            membership.apply_heartbeat(
                 START,
                 &Heartbeat { from: Incarnation(*n), status, accused: Vec::new(), digest: 0 },
             );
         }
         let status = InstanceStatus { store: health, ..InstanceStatus::default() };
-        watch_role(Incarnation(own), &domain(own), &status, beats.peers())
+        watch_role(Incarnation(own), &domain(own), &status, membership.peers())
     };
     fleet.iter().map(|(n, health)| (*n, role(*n, *health))).collect()
 }
@@ -348,7 +367,7 @@
 }
 
 #[test]
-fn watch_role_passed_on_by_those_not_answered() {
+fn watch_role_moves_from_failing_instances() {
     let fleet: Vec<_> = (0..16).map(|n| (n, StoreHealth::Untried)).collect();
     let first = with_role(&roles(&fleet), WatchRole::Watch);
     let fleet: Vec<_> = fleet
@@ -363,7 +382,7 @@
 }
 
 #[test]
-fn watch_role_two_retry_while_nobody_is_answered() {
+fn watch_role_two_retry_while_store_fails() {
     let fleet: Vec<_> = (0..16).map(|n| (n, StoreHealth::Failing)).collect();
     let roles = roles(&fleet);
     assert!(with_role(&roles, WatchRole::Watch).is_empty());
--- a/crates/galenapath-membership/tests/leaving.rs
+++ b/crates/galenapath-membership/tests/leaving.rs
@@ -30,14 +30,14 @@
     }
 
     #[test]
-    fn mark_never_unlearned(marks in prop::collection::vec((0_u64..3, 0_u64..4), 0..12)) {
+    fn mark_never_lost(marks in prop::collection::vec((0_u64..3, 0_u64..4), 0..12)) {
         let mut all = LeavingMarks::default();
         for (n, (backend, started)) in marks.iter().enumerate() {
             all.mark(NOW, &mark(*backend, *started));
             for (backend, started) in &marks[..=n] {
-                let told = mark(*backend, *started);
-                prop_assert!(all.is_leaving(&told.backend, told.started));
-                prop_assert!(!all.mark(NOW, &told));
+                let known = mark(*backend, *started);
+                prop_assert!(all.is_leaving(&known.backend, known.started));
+                prop_assert!(!all.mark(NOW, &known));
             }
         }
     }
@@ -65,16 +65,16 @@
 /// Whether a listed run counts as leaving, given the start of the run that was marked.
 type Rule = fn(&LeavingMarks, Option<u64>, u64) -> bool;
 
-/// One server that runs up to three times; two instances that hear of its leaving in any order,
-/// and whose lists lag in any way.
+/// One server with up to three runs, and two instances that learn of its leaving in any order and
+/// whose lists lag by any amount.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// Run of the server.
+    /// Current run of the server.
     run: u64,
     /// Whether that run has begun to leave.
     is_leaving: bool,
-    /// Latest run whose leaving each instance has heard of.
-    heard: [Option<u64>; 2],
+    /// Latest run that each instance knows to be leaving.
+    known_leaving: [Option<u64>; 2],
     /// Run that each instance's list shows.
     listed: [u64; 2],
 }
@@ -92,9 +92,9 @@
     }
     for at in 0..2 {
         if state.is_leaving {
-            push(&|s| s.heard[at] = s.heard[at].max(Some(s.run)));
+            push(&|s| s.known_leaving[at] = s.known_leaving[at].max(Some(s.run)));
         }
-        push(&|s| s.heard[at] = s.heard[at].max(s.heard[1 - at]));
+        push(&|s| s.known_leaving[at] = s.known_leaving[at].max(s.known_leaving[1 - at]));
         for run in 1..=state.run {
             push(&|s| s.listed[at] = run);
         }
@@ -102,19 +102,19 @@
     next
 }
 
-/// A run whose leaving was heard is never used, a later run always is.
+/// Checks that a run known to be leaving is never used and a later run always is.
 fn check(rule: Rule) -> Result<usize, State> {
-    let start = State { run: 1, is_leaving: false, heard: [None; 2], listed: [1; 2] };
+    let start = State { run: 1, is_leaving: false, known_leaving: [None; 2], listed: [1; 2] };
     let mut states = 0;
     for state in bfs_reach(start, steps) {
         states += 1;
         for at in 0..2 {
             let mut marks = LeavingMarks::default();
-            if let Some(run) = state.heard[at] {
+            if let Some(run) = state.known_leaving[at] {
                 marks.mark(NOW, &mark(1, run));
             }
-            let must_leave = state.heard[at].is_some_and(|run| state.listed[at] <= run);
-            if rule(&marks, state.heard[at], state.listed[at]) != must_leave {
+            let must_leave = state.known_leaving[at].is_some_and(|run| state.listed[at] <= run);
+            if rule(&marks, state.known_leaving[at], state.listed[at]) != must_leave {
                 return Err(state);
             }
         }
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn model_leaving_heard_run_never_used() {
+fn model_leaving_known_run_never_used() {
     let states = check(shipped).unwrap();
     println!("leaving rule: {states} states, no violation");
     assert!(states > 100);
@@ -136,12 +136,12 @@
 #[test]
 fn model_leaving_mutants_found() {
     let list_alone: Rule = |_, _, _| false;
-    let same_run_only: Rule = |_, heard, listed| heard == Some(listed);
-    let any_run: Rule = |_, heard, _| heard.is_some();
+    let same_run_only: Rule = |_, known_leaving, listed| known_leaving == Some(listed);
+    let any_run: Rule = |_, known_leaving, _| known_leaving.is_some();
     for (name, mutant) in [
-        ("the list takes marks back", list_alone),
+        ("the list removes marks", list_alone),
         ("an older listed run is used", same_run_only),
-        ("a later run stays out", any_run),
+        ("a later run is not used", any_run),
     ] {
         assert!(check(mutant).is_err(), "{name}");
     }
--- a/crates/galenapath-membership/tests/listing.rs
+++ b/crates/galenapath-membership/tests/listing.rs
@@ -10,7 +10,7 @@
     entries.iter().map(|(id, value)| ((*id).to_owned(), *value)).collect()
 }
 
-fn held(tracked: &TrackedList<u32>) -> Vec<u32> {
+fn entries(tracked: &TrackedList<u32>) -> Vec<u32> {
     tracked.entries().copied().collect()
 }
 
@@ -40,7 +40,7 @@
     let old = ahead.delta_after(0).unwrap();
     ahead.apply_list(6, list(&[("b", 1)]));
     assert!(!ahead.apply(old));
-    assert_eq!(held(&ahead), [1]);
+    assert_eq!(entries(&ahead), [1]);
     assert_eq!(ahead.position(), 6);
 }
 
@@ -56,11 +56,11 @@
 }
 
 #[test]
-fn take_list_set_back_is_taken() {
+fn apply_list_after_store_reset() {
     let mut tracked = TrackedList::default();
     tracked.apply_list(50, list(&[("a", 1)]));
     tracked.apply_list(2, list(&[("b", 2)]));
-    assert_eq!((tracked.position(), held(&tracked)), (2, vec![2]));
+    assert_eq!((tracked.position(), entries(&tracked)), (2, vec![2]));
 }
 
 #[test]
@@ -77,52 +77,52 @@
 enum Step {
     /// A node reads the platform's list at some position.
     Read { node: usize, position: usize },
-    /// A node pulls from another; the message may be delivered later.
-    Ask { node: usize, from: usize },
-    /// The oldest message on the way is delivered.
+    /// A node pulls from another; the answer may be delivered later.
+    Pull { node: usize, from: usize },
+    /// The oldest message in transit is delivered.
     Deliver,
-    /// The newest message on the way is delivered.
+    /// The newest message in transit is delivered.
     DeliverNewest,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         (0..3_usize, 0..12_usize).prop_map(|(node, position)| Step::Read { node, position }),
-        (0..3_usize, 0..3_usize).prop_map(|(node, from)| Step::Ask { node, from }),
-        (0..3_usize, 0..3_usize).prop_map(|(node, from)| Step::Ask { node, from }),
+        (0..3_usize, 0..3_usize).prop_map(|(node, from)| Step::Pull { node, from }),
+        (0..3_usize, 0..3_usize).prop_map(|(node, from)| Step::Pull { node, from }),
         Just(Step::Deliver),
         Just(Step::DeliverNewest),
     ]
 }
 
 proptest! {
-    /// Whatever nodes read, ask and get late or out of order, a node's list is always the
-    /// platform's list at the node's position.
+    /// Whatever the order of reads, pulls and late deliveries, the list of a node equals the
+    /// platform's list at the position of the node.
     #[test]
     fn apply_any_order_is_the_list_at_the_position(
         lists in prop::collection::vec(prop::collection::btree_map("[a-e]", 0..3_u32, 0..5), 12),
         steps in prop::collection::vec(step(), 0..60),
     ) {
         let mut nodes: Vec<TrackedList<u32>> = vec![TrackedList::default(); 3];
-        let mut on_the_way = Vec::new();
+        let mut in_transit = Vec::new();
         for step in steps {
             match step {
                 Step::Read { node, position } => {
-                    // Reads of one node go forward, as a watch does.
+                    // The reads of one node never go back, like those of a watch.
                     if position as u64 + 1 >= nodes[node].position() {
                         nodes[node].apply_list(position as u64 + 1, lists[position].clone());
                     }
                 }
-                Step::Ask { node, from } => {
+                Step::Pull { node, from } => {
                     let delta = nodes[from].delta_after(nodes[node].position());
-                    on_the_way.extend(delta.map(|delta| (node, delta)));
+                    in_transit.extend(delta.map(|delta| (node, delta)));
                 }
-                Step::Deliver if !on_the_way.is_empty() => {
-                    let (node, delta) = on_the_way.remove(0);
+                Step::Deliver if !in_transit.is_empty() => {
+                    let (node, delta) = in_transit.remove(0);
                     nodes[node].apply(delta);
                 }
                 Step::DeliverNewest => {
-                    if let Some((node, delta)) = on_the_way.pop() {
+                    if let Some((node, delta)) = in_transit.pop() {
                         nodes[node].apply(delta);
                     }
                 }
@@ -131,7 +131,7 @@
             for node in &nodes {
                 if let Some(at) = (node.position() as usize).checked_sub(1) {
                     let expected: Vec<u32> = lists[at].values().copied().collect();
-                    prop_assert_eq!(held(node), expected);
+                    prop_assert_eq!(entries(node), expected);
                 }
             }
         }
--- a/crates/galenapath-membership/tests/merge.rs
+++ b/crates/galenapath-membership/tests/merge.rs
@@ -1,4 +1,4 @@
-//! The rule of merging news of members.
+//! The rule of merging updates about members.
 
 use galenapath_membership::{GossipConfig, GossipMembership, Member, MemberStatus};
 use galenapath_protocol::{DomainId, Incarnation, InstanceId, Micros};
@@ -7,14 +7,14 @@
 
 const NOW: Micros = Micros::from_secs(1);
 
-fn member(incarnation: u64, beat: u64, status: MemberStatus) -> Member {
+fn member(incarnation: u64, version: u64, status: MemberStatus) -> Member {
     Member {
         id: InstanceId(format!("entry-{incarnation}")),
         incarnation: Incarnation(incarnation),
         domain: DomainId("d1".into()),
         caller_address: ([127, 0, 0, 1], 1).into(),
         peer_address: ([127, 0, 0, 1], 2).into(),
-        status_version: beat,
+        status_version: version,
         status,
     }
 }
@@ -28,7 +28,7 @@
     members
 }
 
-/// What a table says of others: beat and status by member.
+/// Status version and status of each other member in a table.
 fn view(members: &GossipMembership) -> Vec<(u64, u64, MemberStatus)> {
     let mut view: Vec<_> = members
         .all()
@@ -39,23 +39,23 @@
     view
 }
 
-fn news() -> impl Strategy<Value = Member> {
+fn update() -> impl Strategy<Value = Member> {
     let status = prop_oneof![
         Just(MemberStatus::Live),
         Just(MemberStatus::Suspect),
         Just(MemberStatus::Leaving),
         Just(MemberStatus::Gone),
     ];
-    (1_u64..4, 0_u64..4, status).prop_map(|(i, beat, status)| member(i, beat, status))
+    (1_u64..4, 0_u64..4, status).prop_map(|(i, version, status)| member(i, version, status))
 }
 
 proptest! {
     #[test]
-    fn merge_order_does_not_matter(news in prop::collection::vec(news(), 0..12), turn in 0_usize..12) {
+    fn merge_order_does_not_matter(updates in prop::collection::vec(update(), 0..12), turn in 0_usize..12) {
         let mut first = table();
-        first.merge(NOW, &news);
-        let mut turned = news.clone();
-        turned.rotate_left(turn.min(news.len()));
+        first.merge(NOW, &updates);
+        let mut turned = updates.clone();
+        turned.rotate_left(turn.min(updates.len()));
         turned.reverse();
         let mut second = table();
         second.merge(NOW, &turned);
@@ -63,20 +63,20 @@
     }
 
     #[test]
-    fn merge_twice_is_once(news in prop::collection::vec(news(), 0..12)) {
+    fn merge_twice_is_once(updates in prop::collection::vec(update(), 0..12)) {
         let mut members = table();
-        members.merge(NOW, &news);
+        members.merge(NOW, &updates);
         let once = view(&members);
         let version = members.version();
-        members.merge(NOW, &news);
+        members.merge(NOW, &updates);
         prop_assert_eq!(view(&members), once);
         prop_assert_eq!(members.version(), version);
     }
 
     #[test]
-    fn merge_never_goes_back(news in prop::collection::vec(news(), 0..12)) {
+    fn merge_never_goes_back(updates in prop::collection::vec(update(), 0..12)) {
         let mut members = table();
-        for member in &news {
+        for member in &updates {
             let before = view(&members);
             members.merge(NOW, std::slice::from_ref(member));
             for (old, new) in before.iter().zip(view(&members)) {
@@ -86,9 +86,9 @@
     }
 
     #[test]
-    fn refute_own_entry_stays_usable(news in prop::collection::vec(news(), 0..12)) {
+    fn refute_own_entry_stays_usable(updates in prop::collection::vec(update(), 0..12)) {
         let mut members = table();
-        for mut member in news {
+        for mut member in updates {
             member.incarnation = Incarnation(0);
             members.merge(NOW, &[member.clone()]);
             let own = members.own().cloned();
@@ -97,77 +97,78 @@
     }
 }
 
-/// Whether news replaces what is known; the rule itself and rules with a guard left out.
+/// Whether an update replaces the known entry. Used for the rule itself and for mutants of it.
 type Rule = fn(&Member, &Member) -> bool;
 
-fn rule(news: &Member, known: &Member) -> bool {
-    news.is_newer_than(known)
+fn rule(update: &Member, known: &Member) -> bool {
+    update.is_newer_than(known)
 }
 
-/// The member itself and two that hear of it. The member may raise its beat, be suspected, be
-/// declared gone; any message ever sent may arrive at any time, and again.
+/// The member itself and two receivers. The member may raise its version, be suspected or be
+/// declared gone; any message may arrive at any time and more than once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     own: (u64, MemberStatus),
-    heard: [(u64, MemberStatus); 2],
-    /// Highest news that each hearer ever held: the ghost that shows a step back.
+    received: [(u64, MemberStatus); 2],
+    /// Newest update that each receiver ever held; shows when a receiver goes back.
     highest: [(u64, MemberStatus); 2],
     sent: std::collections::BTreeSet<(u64, MemberStatus)>,
 }
 
-const MOST_BEATS: u64 = 2;
+const MAX_VERSION: u64 = 2;
 
 fn start() -> State {
     let live = (0, MemberStatus::Live);
-    State { own: live, heard: [live; 2], highest: [live; 2], sent: [live].into() }
+    State { own: live, received: [live; 2], highest: [live; 2], sent: [live].into() }
 }
 
 fn steps(state: &State, rule: Rule) -> Vec<State> {
     let mut next = Vec::new();
-    let (beat, status) = state.own;
+    let (version, status) = state.own;
     for status in [status, MemberStatus::Leaving] {
-        if beat < MOST_BEATS && status >= state.own.1 {
+        if version < MAX_VERSION && status >= state.own.1 {
             let mut after = state.clone();
-            after.own = (beat + 1, status);
+            after.own = (version + 1, status);
             after.sent.insert(after.own);
             next.push(after);
         }
     }
     for at in 0..2 {
-        for told in &state.sent {
-            next.extend(hear(state, at, *told, rule));
+        for update in &state.sent {
+            next.extend(receive(state, at, *update, rule));
         }
-        let (beat, known) = state.heard[at];
+        let (version, known) = state.received[at];
         let worse = match known {
             MemberStatus::Live => MemberStatus::Suspect,
             _ => MemberStatus::Gone,
         };
         let mut after = state.clone();
-        after.heard[at] = (beat, worse);
-        after.highest[at] = after.highest[at].max(after.heard[at]);
-        after.sent.insert(after.heard[at]);
+        after.received[at] = (version, worse);
+        after.highest[at] = after.highest[at].max(after.received[at]);
+        after.sent.insert(after.received[at]);
         next.push(after);
     }
     next
 }
 
-fn hear(state: &State, at: usize, told: (u64, MemberStatus), rule: Rule) -> Option<State> {
-    let news = member(1, told.0, told.1);
-    let known = member(1, state.heard[at].0, state.heard[at].1);
-    rule(&news, &known).then(|| {
+fn receive(state: &State, at: usize, update: (u64, MemberStatus), rule: Rule) -> Option<State> {
+    let new = member(1, update.0, update.1);
+    let known = member(1, state.received[at].0, state.received[at].1);
+    rule(&new, &known).then(|| {
         let mut after = state.clone();
-        after.heard[at] = told;
-        after.highest[at] = after.highest[at].max(told);
+        after.received[at] = update;
+        after.highest[at] = after.highest[at].max(update);
         after
     })
 }
 
-/// No hearer ever holds older news than it held before; the number of states, or a violation.
+/// Checks that no receiver ever replaces an update by an older one. Returns the number of states,
+/// or the state that violates it.
 fn check(rule: Rule) -> Result<usize, State> {
     let mut states = 0;
     for state in bfs_reach(start(), |state| steps(state, rule)) {
         states += 1;
-        if state.heard != state.highest {
+        if state.received != state.highest {
             return Err(state);
         }
     }
@@ -183,16 +184,18 @@
 
 #[test]
 fn model_merge_mutants_found() {
-    let without_beat: Rule =
-        |news, known| news.status > known.status || news.status_version > known.status_version;
-    let without_status: Rule = |news, known| news.status_version >= known.status_version;
-    let status_first: Rule =
-        |news, known| (news.status, news.status_version) > (known.status, known.status_version);
+    let without_version: Rule = |update, known| {
+        update.status > known.status || update.status_version > known.status_version
+    };
+    let without_status: Rule = |update, known| update.status_version >= known.status_version;
+    let status_first: Rule = |update, known| {
+        (update.status, update.status_version) > (known.status, known.status_version)
+    };
     let always: Rule = |_, _| true;
     for (name, mutant) in [
-        ("beat not compared first", without_beat),
+        ("version not compared first", without_version),
         ("status not compared", without_status),
-        ("status before beat", status_first),
+        ("status before version", status_first),
         ("no guard", always),
     ] {
         assert!(check(mutant).is_err(), "{name}");
--- a/crates/galenapath-membership/tests/network/mod.rs
+++ b/crates/galenapath-membership/tests/network/mod.rs
@@ -1,20 +1,21 @@
-//! A network of `Members` tables in virtual time: loss, reordering, cuts, pauses and restarts.
+//! A network of `GossipMembership` tables in simulated time: loss, reordering, cuts, pauses and
+//! restarts.
 
 use galenapath_membership::{GossipConfig, GossipMembership, Member, MemberStatus, Probe};
 use galenapath_protocol::{DomainId, Incarnation, InstanceId, Micros, hash64};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Time between two looks at what is due, as in the programs.
+/// Time between two calls of `tick`, as in the programs.
 const STEP: Micros = Micros::from_millis(50);
 /// Time after which an unanswered probe counts as missed, as in the programs.
 const CALL_TIMEOUT: Micros = Micros::from_millis(800);
-/// Longest way of a message; ways differ by up to this much, so that messages overtake each other.
-const LONGEST_WAY: u64 = 60_000;
+/// Maximum of the random part of a message delay; large enough for messages to overtake each other.
+const MAX_DELAY_US: u64 = 60_000;
 
 enum Event {
-    Request { from: usize, to: usize, probed: Incarnation, call: u64, news: Vec<Member> },
-    Reply { to: usize, probed: Incarnation, call: u64, news: Vec<Member> },
+    Request { from: usize, to: usize, probed: Incarnation, call: u64, updates: Vec<Member> },
+    Reply { to: usize, probed: Incarnation, call: u64, updates: Vec<Member> },
     Timeout { at: usize, probed: Incarnation, call: u64 },
 }
 
@@ -36,7 +37,7 @@
     pub is_split: bool,
     /// Pairs that do not reach each other.
     pub cuts: Vec<(usize, usize)>,
-    /// Most members told in one message so far.
+    /// Largest number of members in one message so far.
     pub largest_message: usize,
     seed: u64,
     drawn: u64,
@@ -58,7 +59,7 @@
 }
 
 impl Network {
-    /// `count` nodes that know each other from the platform's list.
+    /// Creates `count` nodes that know each other from the platform's list.
     pub fn new(seed: u64, count: usize) -> Self {
         let all: Vec<Member> = (0..count).map(|n| member(n, 0)).collect();
         let mut network = Self {
@@ -86,7 +87,7 @@
         Node { members, incarnation, is_up: true, is_paused: false, side: 0, open: Vec::new() }
     }
 
-    /// A new node that knows the list; only it knows of itself.
+    /// Adds a node that knows the list; no other node knows it yet.
     pub fn join(&mut self) -> usize {
         let number = self.nodes.len();
         let list: Vec<Member> = self.nodes[0].members.all().cloned().collect();
@@ -95,7 +96,7 @@
         number
     }
 
-    /// Starts a node again, as a new incarnation at the same address.
+    /// Restarts a node as a new incarnation at the same address.
     pub fn restart(&mut self, number: usize, run: u64) {
         let list: Vec<Member> = self.nodes[0].members.all().cloned().collect();
         self.nodes[number] = self.node(member(number, run), &list);
@@ -105,7 +106,7 @@
         self.run_until(time, |_| false);
     }
 
-    /// Runs until `is_done` holds or `limit` has passed; the time that it took, if it held.
+    /// Runs until `is_done` holds or `limit` has passed. Returns the time until it held, if it did.
     pub fn run_until(&mut self, limit: Micros, is_done: impl Fn(&Self) -> bool) -> Option<Micros> {
         let start = self.now;
         while self.now < start + limit {
@@ -119,16 +120,16 @@
         None
     }
 
-    /// What every other node that is up thinks of `about`.
-    pub fn opinions(&self, about: Incarnation) -> impl Iterator<Item = Option<MemberStatus>> {
+    /// The status of `about` in the table of every other running node.
+    pub fn statuses_of(&self, about: Incarnation) -> impl Iterator<Item = Option<MemberStatus>> {
         self.nodes
             .iter()
             .filter(move |node| node.is_up && !node.is_paused && node.incarnation != about)
             .map(move |node| node.members.find(about).map(|m| m.status))
     }
 
-    pub fn all_think(&self, about: Incarnation, status: MemberStatus) -> bool {
-        self.opinions(about).all(|opinion| opinion == Some(status))
+    pub fn all_have_status(&self, about: Incarnation, status: MemberStatus) -> bool {
+        self.statuses_of(about).all(|reported| reported == Some(status))
     }
 
     fn draw(&mut self, below: u64) -> u64 {
@@ -147,8 +148,8 @@
         if is_lost || !self.reaches(from, to) {
             return;
         }
-        let way = Micros(1_000 + self.draw(LONGEST_WAY));
-        self.queue(way, event);
+        let delay = Micros(1_000 + self.draw(MAX_DELAY_US));
+        self.queue(delay, event);
     }
 
     fn queue(&mut self, after: Micros, event: Event) {
@@ -171,11 +172,11 @@
         let to = usize::from(probe.to.port()) - 10_000;
         let probed = probe.incarnation;
         let call = self.drawn;
-        let news = self.nodes[from].members.updates_for(probed);
-        self.largest_message = self.largest_message.max(news.len());
+        let updates = self.nodes[from].members.updates_for(probed);
+        self.largest_message = self.largest_message.max(updates.len());
         self.nodes[from].open.push(call);
         self.queue(CALL_TIMEOUT, Event::Timeout { at: from, probed, call });
-        self.send(from, to, Event::Request { from, to, probed, call, news });
+        self.send(from, to, Event::Request { from, to, probed, call, updates });
     }
 
     fn deliver(&mut self) {
@@ -191,23 +192,23 @@
     fn handle(&mut self, event: Event) {
         let now = self.now;
         match event {
-            Event::Request { from, to, probed, call, news } => {
+            Event::Request { from, to, probed, call, updates } => {
                 let node = &mut self.nodes[to];
                 if !node.is_up || node.is_paused {
                     return;
                 }
-                node.members.merge(now, &news);
-                let news = node.members.updates_for(news[0].incarnation);
-                self.largest_message = self.largest_message.max(news.len());
-                self.send(to, from, Event::Reply { to: from, probed, call, news });
+                node.members.merge(now, &updates);
+                let updates = node.members.updates_for(updates[0].incarnation);
+                self.largest_message = self.largest_message.max(updates.len());
+                self.send(to, from, Event::Reply { to: from, probed, call, updates });
             }
-            Event::Reply { to, probed, call, news } => {
+            Event::Reply { to, probed, call, updates } => {
                 let node = &mut self.nodes[to];
                 if !node.is_up || node.is_paused || !node.close(call) {
                     return;
                 }
-                node.members.merge(now, &news);
-                if news[0].incarnation == probed {
+                node.members.merge(now, &updates);
+                if updates[0].incarnation == probed {
                     node.members.probe_answered(now, probed);
                 } else {
                     node.members.mark_replaced(now, probed);
--- a/crates/galenapath-routes/src/changes.rs
+++ b/crates/galenapath-routes/src/changes.rs
@@ -16,7 +16,7 @@
 /// An entry as it is sent between instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedServer {
-    /// Revision at which the store wrote the entry, or removed it if it lapses.
+    /// Revision at which the store wrote the entry, or removed it if it is due to expire.
     pub revision: u64,
     /// The entry.
     pub record: ServerRecord,
--- a/crates/galenapath-routes/src/directory.rs
+++ b/crates/galenapath-routes/src/directory.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 /// Number of removals kept for peers that are behind. Enough for a day of 440 replacements.
-const REMEMBERED: usize = 1_024;
+const MAX_REMOVALS: usize = 1_024;
 
 #[derive(Clone, Debug)]
 struct Listed {
@@ -94,7 +94,7 @@
     }
 
     /// Applies one change that the store made at `revision`. A removal takes effect at `gone_at`,
-    /// or at once if that is `None`. Returns whether the list changed.
+    /// or at once if that is `None`. Returns whether an entry was added, updated or removed.
     pub fn apply(&mut self, revision: u64, change: Change, gone_at: Option<Micros>) -> bool {
         match change {
             Change::Put(record) => self.put(revision, record, None),
@@ -270,12 +270,12 @@
     fn remove(&mut self, revision: u64, id: &BackendId, gone_at: Option<Micros>) -> bool {
         let Some(entry) = self.servers.get_mut(id) else {
             // The entry itself may still be in transit.
-            self.remember_removal(revision, id);
+            self.record_removal(revision, id);
             return false;
         };
         if entry.revision > revision {
             // The removal may belong to a later run, whose entry is still in transit.
-            self.remember_removal(revision, id);
+            self.record_removal(revision, id);
             return false;
         }
         let run = entry.record.run_id();
@@ -291,12 +291,12 @@
     }
 
     fn drop_entry(&mut self, revision: u64, id: &BackendId) {
-        self.remember_removal(revision, id);
+        self.record_removal(revision, id);
         self.servers.remove(id);
         self.generation += 1;
     }
 
-    fn remember_removal(&mut self, revision: u64, id: &BackendId) {
+    fn record_removal(&mut self, revision: u64, id: &BackendId) {
         let before = self.removed.get(id).copied();
         let listed = self.servers.get(id).map(|entry| entry.record.started);
         let started = listed.max(before.map(|removed| removed.started)).unwrap_or_default();
@@ -306,7 +306,7 @@
         }
         self.removals.push_back(Removal { revision, id: id.clone() });
         self.removed.insert(id.clone(), Removed { revision, started });
-        while self.removals.len() > REMEMBERED {
+        while self.removals.len() > MAX_REMOVALS {
             if let Some(oldest) = self.removals.pop_front() {
                 let is_newer = |removed: &Removed| removed.revision > oldest.revision;
                 self.removed.retain(|id, removed| *id != oldest.id || is_newer(removed));
--- a/crates/galenapath-routes/src/evacuations.rs
+++ b/crates/galenapath-routes/src/evacuations.rs
@@ -24,7 +24,7 @@
 /// Invariant: the known revision of a domain never decreases.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
-    marks: FastMap<DomainId, Evacuation>,
+    statements: FastMap<DomainId, Evacuation>,
     /// Position in the store up to which the evacuations are completely known.
     position: u64,
     /// Position of the latest read of all evacuations. An evacuation that it did not contain had
@@ -45,55 +45,63 @@
         self.position = self.position.max(position);
     }
 
-    /// Counts up with each domain that is evacuated or restored.
+    /// Increases each time a domain is evacuated or restored.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
     /// Whether the backend servers of `domain` get no requests.
     pub fn contains(&self, domain: &DomainId) -> bool {
-        self.marks.get(domain).is_some_and(|mark| mark.is_in_force)
+        self.statements.get(domain).is_some_and(|statement| statement.is_in_force)
     }
 
     /// The domains that are evacuated.
     pub fn in_force(&self) -> impl Iterator<Item = &DomainId> {
-        self.marks.values().filter(|mark| mark.is_in_force).map(|mark| &mark.domain)
+        self.statements
+            .values()
+            .filter(|statement| statement.is_in_force)
+            .map(|statement| &statement.domain)
     }
 
     /// All known statements, for a peer.
     pub fn known(&self) -> impl Iterator<Item = &Evacuation> {
-        self.marks.values()
+        self.statements.values()
     }
 
     /// Applies one statement of the operator. Returns whether it evacuates or restores the domain.
-    pub fn apply(&mut self, mark: Evacuation) -> bool {
-        let before = self.marks.get(&mark.domain);
+    pub fn apply(&mut self, statement: Evacuation) -> bool {
+        let before = self.statements.get(&statement.domain);
         let is_newer = match before {
-            Some(before) => mark.revision > before.revision,
+            Some(before) => statement.revision > before.revision,
             // The latest read of all contained every evacuation in force by then.
-            None => !mark.is_in_force || mark.revision > self.read_at,
+            None => !statement.is_in_force || statement.revision > self.read_at,
         };
         if !is_newer {
             return false;
         }
-        let is_change = before.is_some_and(|before| before.is_in_force) != mark.is_in_force;
+        let is_change = before.is_some_and(|before| before.is_in_force) != statement.is_in_force;
         self.generation += u64::from(is_change);
-        self.marks.insert(mark.domain.clone(), mark);
+        self.statements.insert(statement.domain.clone(), statement);
         is_change
     }
 
     /// Applies all evacuations in force, as read at `position` or later. A domain that is missing
     /// from them has been restored, unless it was evacuated after `position`. Returns the changes.
     pub fn apply_snapshot(&mut self, position: u64, all: Vec<Evacuation>) -> Vec<Evacuation> {
-        let is_missing = |mark: &&Evacuation| !all.iter().any(|read| read.domain == mark.domain);
-        let over = self.marks.values().filter(|mark| mark.is_in_force && mark.revision < position);
-        let over = over.filter(is_missing).map(|mark| Evacuation {
-            domain: mark.domain.clone(),
+        let is_missing =
+            |statement: &&Evacuation| !all.iter().any(|read| read.domain == statement.domain);
+        let ended = self
+            .statements
+            .values()
+            .filter(|statement| statement.is_in_force && statement.revision < position);
+        let ended = ended.filter(is_missing).map(|statement| Evacuation {
+            domain: statement.domain.clone(),
             revision: position,
             is_in_force: false,
         });
-        let marks: Vec<Evacuation> = over.chain(all.iter().cloned()).collect();
-        let changed = marks.into_iter().filter(|mark| self.apply(mark.clone())).collect();
+        let statements: Vec<Evacuation> = ended.chain(all.iter().cloned()).collect();
+        let changed =
+            statements.into_iter().filter(|statement| self.apply(statement.clone())).collect();
         self.read_at = self.read_at.max(position);
         self.advance_position(position);
         changed
--- a/crates/galenapath-routes/src/route.rs
+++ b/crates/galenapath-routes/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which requests match one and how they are served.
+//! Routes: which requests each one matches and how they are served.
 
 use std::time::Duration;
 
--- a/crates/galenapath-routes/src/table.rs
+++ b/crates/galenapath-routes/src/table.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Why a configuration cannot be used.
+/// Why a configuration is invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum TableError {
-    /// A route sends requests to a service that the configuration does not have.
+    /// A route sends requests to a service that is not in the configuration.
     #[error("route `{route}` names the service `{service}`, which does not exist")]
     UnknownService {
         /// Name of the route.
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// The first route that cannot be used.
+    /// Returns an error for the first route that is invalid.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -67,8 +67,8 @@
         self.version
     }
 
-    /// The route with the longest prefix of `path`, among the routes of `host`. The cost grows with
-    /// the depth of the path, not with the number of routes.
+    /// The route with the longest prefix that `path` begins with, among the routes of `host`. The
+    /// cost grows with the depth of the path, not with the number of routes.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let prefixes = match self.by_host.get(host) {
             Some(prefixes) => prefixes,
@@ -105,18 +105,18 @@
 }
 
 fn check(route: &Route, services: &FastMap<String, ServiceSpec>) -> Result<(), TableError> {
-    let is_framed = route.prefix.starts_with('/') && route.prefix.ends_with('/');
-    if !is_framed {
+    let has_slashes = route.prefix.starts_with('/') && route.prefix.ends_with('/');
+    if !has_slashes {
         let (route, prefix) = (route.name.clone(), route.prefix.clone());
         return Err(TableError::BadPrefix { route, prefix });
     }
-    if route.services.iter().all(|part| part.weight == 0) {
+    if route.services.iter().all(|weighted| weighted.weight == 0) {
         return Err(TableError::NoWeightedService(route.name.clone()));
     }
-    match route.services.iter().find(|part| !services.contains_key(&part.service)) {
-        Some(part) => Err(TableError::UnknownService {
+    match route.services.iter().find(|weighted| !services.contains_key(&weighted.service)) {
+        Some(weighted) => Err(TableError::UnknownService {
             route: route.name.clone(),
-            service: part.service.clone(),
+            service: weighted.service.clone(),
         }),
         None => Ok(()),
     }
--- a/crates/galenapath-routes/src/weighted_round_robin.rs
+++ b/crates/galenapath-routes/src/weighted_round_robin.rs
@@ -18,22 +18,22 @@
 impl WeightedRoundRobin {
     /// Starts at an offset derived from `seed`, so that instances do not all begin with the same
     /// service.
-    pub fn new(parts: &[WeightedService], seed: u64) -> Self {
-        let total: i64 = parts.iter().map(|part| i64::from(part.weight)).sum();
-        let mut turn = Self { credits: vec![0; parts.len()] };
+    pub fn new(services: &[WeightedService], seed: u64) -> Self {
+        let total: i64 = services.iter().map(|service| i64::from(service.weight)).sum();
+        let mut round_robin = Self { credits: vec![0; services.len()] };
         for _ in 0..seed % u64::try_from(total.max(1)).unwrap_or(1) {
-            turn.next(parts);
+            round_robin.next(services);
         }
-        turn
+        round_robin
     }
 
     /// Index of the service that gets the next request.
-    pub fn next(&mut self, parts: &[WeightedService]) -> usize {
+    pub fn next(&mut self, services: &[WeightedService]) -> usize {
         let mut best = 0;
         let mut total = 0;
-        for (index, part) in parts.iter().enumerate() {
-            self.credits[index] += i64::from(part.weight);
-            total += i64::from(part.weight);
+        for (index, service) in services.iter().enumerate() {
+            self.credits[index] += i64::from(service.weight);
+            total += i64::from(service.weight);
             if self.credits[index] > self.credits[best] {
                 best = index;
             }
--- a/crates/galenapath-routes/tests/directory.rs
+++ b/crates/galenapath-routes/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The list of backend servers, however changes reach it.
+//! The list of backend servers, with changes from all sources.
 
 use galenapath_protocol::{BackendId, DomainId, Micros};
 use galenapath_routes::{
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn changes_after_far_behind_tells_who_is_there() {
+fn changes_after_far_behind_lists_present_servers() {
     let mut first = Directory::default();
     first.apply_list(10, (1..=3).map(|n| listed(n, n)).collect(), None);
     let mut second = first.clone();
     first.apply_list(20, [listed(1, 1), listed(15, 4)].into(), None);
-    // What went between the two lists is not known: no removal says so.
+    // The servers removed between the two lists are not known: there are no removals.
     let changes = first.changes_after(10, NOW);
     assert!(!changes.is_whole);
     assert_eq!((changes.puts.len(), changes.present.len()), (1, 2));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn merge_who_is_there_does_not_remove_newer() {
+fn merge_present_servers_keeps_newer() {
     let mut first = Directory::default();
     first.apply_list(20, [listed(1, 1)].into(), None);
     let mut second = Directory::default();
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn apply_removed_not_brought_back() {
+fn apply_removed_not_restored() {
     let mut directory = Directory::default();
     directory.apply(5, Change::Put(record(1, ServerState::Ready)), None);
     directory.apply(7, Change::Removed(BackendId("s1".into())), None);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn apply_later_run_begins_anew() {
+fn apply_later_run_replaces_record() {
     let mut directory = Directory::default();
     directory.apply(5, Change::Put(run(100, ServerState::Leaving)), None);
     directory.take_visible_changes();
@@ -99,7 +99,7 @@
 fn apply_former_run_ignored_at_any_revision() {
     let mut directory = Directory::default();
     directory.apply(5, Change::Put(run(200, ServerState::Ready)), None);
-    // A write of the former run that the store took late.
+    // A write of the former run that reached the store late.
     assert!(!directory.apply(8, Change::Put(run(100, ServerState::Leaving)), None));
     let late =
         ListedServer { revision: 9, record: run(100, ServerState::Leaving), expires_in: None };
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn apply_ended_run_takes_the_former_one_with_it() {
+fn apply_ended_run_removes_former_run() {
     let mut directory = Directory::default();
     directory.apply(12, Change::Put(run(100, ServerState::Ready)), None);
     directory.apply(11, Change::Removed(BackendId("s1".into())), None);
@@ -123,18 +123,18 @@
 }
 
 #[test]
-fn take_list_keeps_what_is_newer() {
+fn apply_list_keeps_newer() {
     let mut directory = Directory::default();
     directory.apply_list(10, vec![listed(5, 1), listed(6, 2)], None);
     directory.apply(12, Change::Put(record(3, ServerState::Ready)), None);
-    // A list that was read before the third server came.
+    // A list that was read before the third server was added.
     directory.apply_list(11, vec![listed(5, 1)], None);
     assert_eq!(names(&directory), ["s1", "s3"]);
     assert_eq!(directory.position(), 11);
 }
 
 #[test]
-fn removal_held_until_its_time() {
+fn apply_removal_delayed_until_gone_at() {
     let mut directory = Directory::default();
     directory.apply_list(10, vec![listed(5, 1), listed(6, 2)], None);
     let gone_at = Some(NOW + Micros::from_secs(2));
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn merge_hold_passed_on() {
+fn merge_delayed_removal_forwarded() {
     let mut first = Directory::default();
     first.apply_list(10, vec![listed(5, 1), listed(6, 2)], None);
     let mut second = Directory::default();
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn take_news_whichever_way_it_came() {
+fn take_visible_changes_from_all_sources() {
     let mut directory = Directory::default();
     directory.apply_list(5, vec![listed(3, 1), listed(4, 2)], None);
     assert_eq!(directory.take_visible_changes().len(), 2);
@@ -169,24 +169,24 @@
     directory.apply(6, Change::Put(record(1, ServerState::Ready)), None);
     assert!(directory.take_visible_changes().is_empty());
     directory.apply_list(9, vec![listed(6, 1), listed(8, 3)], None);
-    let news = directory.take_visible_changes();
+    let visible = directory.take_visible_changes();
     let removed = VisibleChange::Removed { revision: 9, id: BackendId("s2".into()), gone_at: None };
-    assert_eq!(news.len(), 2, "{news:?}");
-    assert!(news.contains(&removed), "{news:?}");
+    assert_eq!(visible.len(), 2, "{visible:?}");
+    assert!(visible.contains(&removed), "{visible:?}");
 }
 
-/// An entry by which the first server stays cold for `ms` milliseconds.
+/// An entry of the first server with `ms` milliseconds of warm-up left.
 fn cold(ms: u64) -> Change {
     let cold_for = Duration::from_millis(ms);
     Change::Put(ServerRecord { cold_for, ..record(1, ServerState::Ready) })
 }
 
 #[test]
-fn apply_less_warm_up_no_change() {
+fn apply_shorter_warm_up_no_change() {
     let mut directory = Directory::default();
     directory.apply(3, cold(3_000), None);
-    let (generation, news) = (directory.generation(), directory.take_visible_changes());
-    assert_eq!(news.len(), 1);
+    let (generation, visible) = (directory.generation(), directory.take_visible_changes());
+    assert_eq!(visible.len(), 1);
     directory.apply(4, cold(1_500), None);
     assert_eq!(directory.generation(), generation);
     assert!(directory.take_visible_changes().is_empty());
@@ -205,10 +205,10 @@
 }
 
 #[test]
-fn changes_after_whole_for_a_peer_behind_the_first_list() {
+fn changes_after_present_servers_before_first_list() {
     let mut behind = Directory::default();
     behind.apply_list(5, vec![listed(3, 1), listed(4, 2)], None);
-    // Server 1 went at 7, before this list was read.
+    // Server 1 was removed at 7, before this list was read.
     let mut later = Directory::default();
     later.apply_list(9, vec![listed(4, 2), listed(8, 3)], None);
     behind.merge(later.changes_after(behind.position(), NOW), NOW);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn changes_after_only_what_is_lacking() {
+fn changes_after_only_missing_changes() {
     let mut directory = Directory::default();
     directory.apply_list(10, vec![listed(5, 1), listed(6, 2)], None);
     directory.apply(11, Change::Put(record(2, ServerState::Leaving)), None);
@@ -232,14 +232,14 @@
     prop::collection::vec((0_u64..6, any::<bool>()), 1..60)
 }
 
-/// What the store writes about one server: the start of the run that writes, or nothing for a removal.
-fn writes() -> impl Strategy<Value = Vec<Option<u64>>> {
+/// Writes of one server in the store: the start time of the writing run, or `None` for a removal.
+fn store_writes() -> impl Strategy<Value = Vec<Option<u64>>> {
     prop::collection::vec(prop::option::weighted(0.7, 1_u64..4), 1..12)
 }
 
-/// What a list that knows all of `writes` holds: the latest run, unless it was removed after its last
-/// write. Returns that run's last write.
-fn standing(writes: &[Option<u64>]) -> Option<(u64, u64)> {
+/// The run that a list with all of `writes` contains: the latest one, unless it was removed after
+/// its last write. Returns its start time and the revision of its last write.
+fn expected_run(writes: &[Option<u64>]) -> Option<(u64, u64)> {
     let latest = writes.iter().flatten().copied().max()?;
     let last_put = writes.iter().rposition(|write| *write == Some(latest))?;
     let is_removed = writes[last_put..].contains(&None);
@@ -247,10 +247,10 @@
 }
 
 proptest! {
-    /// Runs of a server that write in any order of their starts, and removals between: whichever order a
-    /// list hears them in, and through whichever peer, it ends with the same.
+    /// Runs of a server write in any order of their starts, with removals in between. The order and
+    /// the peer through which a list receives these make no difference to the result.
     #[test]
-    fn apply_runs_any_order_agree(writes in writes(), order in any::<prop::sample::Index>(), cut in 0_usize..12) {
+    fn apply_runs_any_order_agree(writes in store_writes(), order in any::<prop::sample::Index>(), cut in 0_usize..12) {
         let mut events: Vec<(u64, Change)> = Vec::new();
         for (step, write) in writes.iter().enumerate() {
             let change = match write {
@@ -275,14 +275,14 @@
         shuffled.into_iter().for_each(|(revision, change)| {
             second.apply(revision, change, None);
         });
-        let expected = standing(&writes).map(|(started, _)| run(started, ServerState::Ready));
+        let expected = expected_run(&writes).map(|(started, _)| run(started, ServerState::Ready));
         for directory in [&first, &second, &peer] {
             prop_assert_eq!(directory.get(&BackendId("s1".into())), expected.as_ref());
         }
     }
 
-    /// One directory follows the store, another takes deltas from it now and then, a third gets the
-    /// changes in a shuffled order: all end with the store's list.
+    /// One directory follows the store, another receives deltas from it at two points, a third
+    /// receives the changes in shuffled order: all end up with the list of the store.
     #[test]
     fn merge_all_ways_agree(changes in changes(), cut in 0_usize..60, seed in any::<u64>()) {
         let mut store: BTreeMap<u64, u64> = BTreeMap::new();
--- a/crates/galenapath-routes/tests/table.rs
+++ b/crates/galenapath-routes/tests/table.rs
@@ -1,4 +1,4 @@
-//! Finding routes, and configurations that cannot be used.
+//! Finding routes, and configurations that are invalid.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -31,7 +31,7 @@
     RouteTable::new(7, routes, services(), CallerLimits::default())
 }
 
-fn found(table: &RouteTable, host: &str, path: &str) -> Option<String> {
+fn find_name(table: &RouteTable, host: &str, path: &str) -> Option<String> {
     table.find(host, path).map(|route| route.name.clone())
 }
 
@@ -39,29 +39,29 @@
 fn find_longest_prefix() {
     let table =
         table(vec![route("short", "h", "/a/", "s"), route("long", "h", "/a/b/", "s")]).unwrap();
-    assert_eq!(found(&table, "h", "/a/b/c").as_deref(), Some("long"));
-    assert_eq!(found(&table, "h", "/a/b/").as_deref(), Some("long"));
-    assert_eq!(found(&table, "h", "/a/bc/d").as_deref(), Some("short"));
-    assert_eq!(found(&table, "h", "/a").as_deref(), None);
-    assert_eq!(found(&table, "h", "/ab/").as_deref(), None);
+    assert_eq!(find_name(&table, "h", "/a/b/c").as_deref(), Some("long"));
+    assert_eq!(find_name(&table, "h", "/a/b/").as_deref(), Some("long"));
+    assert_eq!(find_name(&table, "h", "/a/bc/d").as_deref(), Some("short"));
+    assert_eq!(find_name(&table, "h", "/a").as_deref(), None);
+    assert_eq!(find_name(&table, "h", "/ab/").as_deref(), None);
 }
 
 #[test]
 fn find_by_host_in_any_case() {
     let table = table(vec![route("r", "h.example", "/", "s")]).unwrap();
-    assert_eq!(found(&table, "H.Example", "/x").as_deref(), Some("r"));
-    assert_eq!(found(&table, "other", "/x"), None);
+    assert_eq!(find_name(&table, "H.Example", "/x").as_deref(), Some("r"));
+    assert_eq!(find_name(&table, "other", "/x"), None);
 }
 
 #[test]
-fn new_bad_routes_refused() {
+fn new_bad_routes_rejected() {
     let unknown = table(vec![route("r", "h", "/", "none")]).unwrap_err();
     assert!(matches!(unknown, TableError::UnknownService { .. }));
     for prefix in ["a/", "/a", ""] {
         let bad = table(vec![route("r", "h", prefix, "s")]).unwrap_err();
         assert!(matches!(bad, TableError::BadPrefix { .. }), "{prefix}");
     }
-    let mut nowhere = route("r", "h", "/", "s");
-    nowhere.services[0].weight = 0;
-    assert_eq!(table(vec![nowhere]).unwrap_err(), TableError::NoWeightedService("r".into()));
+    let mut no_weight = route("r", "h", "/", "s");
+    no_weight.services[0].weight = 0;
+    assert_eq!(table(vec![no_weight]).unwrap_err(), TableError::NoWeightedService("r".into()));
 }
