--- a/crates/galenapath-dev/examples/slopes/in_process.rs
+++ b/crates/galenapath-dev/examples/slopes/in_process.rs
@@ -5,7 +5,7 @@
     ChangeId, Class, ClassKind, Config, Mark, Share, Target, Version, decode_snapshot,
     encode_snapshot,
 };
-use galenapath_membership::{Member, MemberStatus, Members, MembershipConfig};
+use galenapath_membership::{GossipConfig, GossipMembership, Member, MemberStatus};
 use galenapath_protocol::{DomainId, Incarnation, InstanceId, Micros, hash64};
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -67,17 +67,17 @@
 fn measure_members(size: usize) -> Row {
     let list: Vec<Member> = (0..size).map(member).collect();
     let mut now = Micros::from_secs(1);
-    let mut members = Members::new(MembershipConfig::default(), now, list[0].clone());
+    let mut members = GossipMembership::new(GossipConfig::default(), now, list[0].clone());
     members.learn(now, &list);
     let began = Instant::now();
     for n in 0..ROUNDS {
         now = now + Micros::from_millis(500);
         if let Some(probe) = black_box(members.tick(now)) {
             members.probe_answered(now, probe.incarnation);
-            black_box(members.news(probe.incarnation));
+            black_box(members.updates_for(probe.incarnation));
         }
         let mut news = list[1 + usize::try_from(n).unwrap_or(0) % (size - 1)].clone();
-        news.beat = n;
+        news.status_version = n;
         members.merge(now, &[news]);
     }
     let per_round = began.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64;
@@ -90,9 +90,9 @@
         id: InstanceId(format!("entry-{n}")),
         incarnation: Incarnation(hash64(1, &n.to_le_bytes())),
         domain: DomainId(format!("region-{}-domain-{}", n % 4, n % 13).into()),
-        callers: address(7000),
-        peers: address(7001),
-        beat: 0,
+        caller_address: address(7000),
+        peer_address: address(7001),
+        status_version: 0,
         status: MemberStatus::Live,
     }
 }
--- a/crates/galenapath-gateway/src/addresses.rs
+++ b/crates/galenapath-gateway/src/addresses.rs
@@ -1,7 +1,7 @@
 //! Selects the instance addresses for a caller that asks where to connect.
 
 use crate::instance::Instance;
-use galenapath_membership::{Member, Peer, Vitals};
+use galenapath_membership::{InstanceStatus, Member, Peer};
 use galenapath_policy::dispatch::{AddressConfig, ReachableInstance, addresses_for};
 use galenapath_protocol::{DomainId, Micros};
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
     let reachable = |member, status| reachable(member, status, seeds);
     let usable = membership.peers().filter(|peer| peer.is_usable());
     let mut all: Vec<ReachableInstance<'_>> =
-        usable.map(|peer| reachable(&peer.member, &peer.vitals)).collect();
+        usable.map(|peer| reachable(&peer.member, &peer.status)).collect();
     if instance.is_ready() {
         all.push(reachable(&own, &status));
     }
@@ -41,16 +41,16 @@
 
 fn reachable<'a>(
     member: &'a Member,
-    status: &Vitals,
+    status: &InstanceStatus,
     seeds: &[SocketAddr],
 ) -> ReachableInstance<'a> {
     ReachableInstance {
         name: &member.id.0,
         domain: &member.domain.0,
-        address: member.callers,
+        address: member.caller_address,
         rate: status.rate,
         capacity: status.capacity,
-        is_seed: seeds.iter().any(|seed| seed.ip() == member.peers.ip()),
+        is_seed: seeds.iter().any(|seed| seed.ip() == member.peer_address.ip()),
     }
 }
 
@@ -62,7 +62,7 @@
     }
     let membership = instance.membership.borrow();
     let is_in_domain = |peer: &&Peer| peer.is_up() && &*peer.member.domain.0 == domain;
-    let others: u32 = membership.peers().filter(is_in_domain).map(|peer| peer.vitals.rate).sum();
+    let others: u32 = membership.peers().filter(is_in_domain).map(|peer| peer.status.rate).sum();
     let is_own = &*instance.settings().domain.0 == domain;
     let own = if is_own { instance.status().rate } else { 0 };
     let (now, key) = (instance.now(), DomainId(domain.into()));
--- a/crates/galenapath-gateway/src/attempt.rs
+++ b/crates/galenapath-gateway/src/attempt.rs
@@ -123,7 +123,7 @@
         Err(HttpError::Closed | HttpError::Io(_))
             // The request may have arrived nevertheless, so sending it again counts as a retry.
             if is_reused
-                && call.req.route.kind.may_repeat()
+                && call.req.route.kind.is_idempotent()
                 && service.try_count_resend(&call.instance, server)
                 && take_retry(call) =>
         {
--- a/crates/galenapath-gateway/src/exchange.rs
+++ b/crates/galenapath-gateway/src/exchange.rs
@@ -100,7 +100,7 @@
         let server = in_flight.server.clone();
         call.tried.borrow_mut().push(server.clone());
         let result = match call.req.route.kind {
-            RouteKind::OnceOnly => attempt_once(call, in_flight).await,
+            RouteKind::NonIdempotent => attempt_once(call, in_flight).await,
             RouteKind::Idempotent | RouteKind::Download => attempt_hedged(call, in_flight).await,
         };
         let error = match result {
@@ -165,16 +165,16 @@
 
 /// Whether the request is retried although the server has answered.
 fn should_retry_answer(call: &Call, reply: &Reply) -> bool {
-    call.req.route.kind.may_repeat() && reply.status.is_server_error() && reply.rest.is_none()
+    call.req.route.kind.is_idempotent() && reply.status.is_server_error() && reply.rest.is_none()
 }
 
 /// Whether another attempt is allowed after `error`, or after an error answer if that is `None`.
 fn may_try_again(call: &Call, error: Option<AttemptError>) -> bool {
     let is_allowed = match error.map(AttemptError::verdict) {
         Some(Verdict::NotRun) => {
-            call.verdict() == Verdict::NotRun || call.req.route.kind.may_repeat()
+            call.verdict() == Verdict::NotRun || call.req.route.kind.is_idempotent()
         }
-        _ => call.req.route.kind.may_repeat(),
+        _ => call.req.route.kind.is_idempotent(),
     };
     if !is_allowed || call.time_left() < MIN_TIME_TO_SEND {
         return false;
--- a/crates/galenapath-gateway/src/fitness.rs
+++ b/crates/galenapath-gateway/src/fitness.rs
@@ -73,7 +73,7 @@
     }
     let now = call.instance.now();
     let kept = service.take_connection(now, server).await;
-    let is_non_idempotent = call.req.route.kind == RouteKind::OnceOnly;
+    let is_non_idempotent = call.req.route.kind == RouteKind::NonIdempotent;
     let is_idle_too_long =
         is_non_idempotent && kept.as_ref().is_some_and(|kept| kept.idle > MAX_TRUSTED_IDLE);
     let may_check_connection = || {
--- a/crates/galenapath-gateway/src/fleet/joining.rs
+++ b/crates/galenapath-gateway/src/fleet/joining.rs
@@ -4,7 +4,7 @@
 use super::tasks::send_heartbeat;
 use crate::instance::{Instance, sleep};
 use crate::usage::Flow;
-use galenapath_membership::{Learned, Member};
+use galenapath_membership::{LearnOutcome, Member};
 use galenapath_policy::LogLineKind;
 use galenapath_protocol::Micros;
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
 pub(crate) fn request_members(instance: &Instance, to: &[SocketAddr]) {
     let own = instance.member();
     let datagram = encode(&Datagram::Hello(own.clone()));
-    let others = to.iter().filter(|address| **address != own.peers);
+    let others = to.iter().filter(|address| **address != own.peer_address);
     others.for_each(|address| instance.send(*address, &datagram, Flow::Members));
 }
 
@@ -66,23 +66,24 @@
 pub(super) fn apply_members(instance: &Instance, members: Vec<Member>, from: SocketAddr) {
     let is_introduction = members.len() == 1;
     for member in members {
-        let (address, is_local) = (member.peers, member.domain == instance.settings().domain);
+        let (address, is_local) =
+            (member.peer_address, member.domain == instance.settings().domain);
         let incarnation = member.incarnation;
         let learned = learn(instance, member);
         if address == from {
-            instance.membership.borrow_mut().spoke(instance.now(), incarnation);
+            instance.membership.borrow_mut().record_contact(instance.now(), incarnation);
         }
         match (learned, address == from) {
             // The heartbeat gives a new instance the store's health and more; one from its own
             // failure domain is enough.
-            (Learned::News, true) if is_local || !is_introduction => {
+            (LearnOutcome::New, true) if is_local || !is_introduction => {
                 send_heartbeat(instance, &[address]);
             }
             // The sender considered this instance gone, or lost the first answer.
-            (Learned::Known | Learned::Doubted, true) if is_introduction => {
+            (LearnOutcome::Known | LearnOutcome::KnownDown, true) if is_introduction => {
                 send_heartbeat(instance, &[address]);
             }
-            (Learned::News | Learned::Doubted, false) => introduce(instance, address),
+            (LearnOutcome::New | LearnOutcome::KnownDown, false) => introduce(instance, address),
             _ => {}
         }
     }
@@ -95,13 +96,13 @@
 }
 
 /// Adds or updates a member.
-pub(super) fn learn(instance: &Instance, member: Member) -> Learned {
+pub(super) fn learn(instance: &Instance, member: Member) -> LearnOutcome {
     let now = instance.now();
     let joined = (member.id.0.clone(), member.incarnation);
     let learned = instance.membership.borrow_mut().learn(now, member);
     // The budget keeps hundreds of instances that start together from writing a line each on all of
     // them.
-    if learned == Learned::News && instance.may_log(LogLineKind::Peer) {
+    if learned == LearnOutcome::New && instance.may_log(LogLineKind::Peer) {
         log::info!(peer = joined.0, incarnation:% = joined.1; "instance joined");
     }
     learned
--- a/crates/galenapath-gateway/src/fleet/tasks.rs
+++ b/crates/galenapath-gateway/src/fleet/tasks.rs
@@ -5,7 +5,9 @@
 use super::pull;
 use crate::instance::{Instance, sleep, sleep_to_next};
 use crate::usage::Flow;
-use galenapath_membership::{Beat, Belief, Heard, StoreHealth, Vitals};
+use galenapath_membership::{
+    Heartbeat, HeartbeatOutcome, InstanceStatus, ReachabilityChange, StoreHealth,
+};
 use galenapath_policy::LogLineKind;
 use galenapath_protocol::Micros;
 use monoio::net::udp::UdpSocket;
@@ -34,7 +36,7 @@
 
 /// Sends heartbeats and detects silent instances for as long as this instance runs.
 pub(crate) async fn run(instance: Rc<Instance>) {
-    let mut last_sent = Vitals::default();
+    let mut last_sent = InstanceStatus::default();
     let mut announcements = SilenceAnnouncements::default();
     loop {
         sleep_to_next(&instance, TICK_PERIOD).await;
@@ -44,7 +46,7 @@
         let up = instance.membership.borrow().peers().filter(|peer| peer.is_up()).count();
         instance.metrics.peers.set(i64::try_from(up).unwrap_or(i64::MAX));
         instance.expire_servers();
-        if changes.iter().any(|change| change.is_own) {
+        if changes.iter().any(|change| change.is_detected_here) {
             announcements.begin(now);
         }
         let status = instance.status();
@@ -53,11 +55,12 @@
         match audience {
             Audience::All => broadcast_heartbeat(&instance),
             Audience::Serving => {
-                let to = instance.membership.borrow().home_and_serving();
+                let to = instance.membership.borrow().local_and_serving_addresses();
                 send_heartbeat(&instance, &to);
             }
             Audience::Targets => {
-                let due = instance.membership.borrow_mut().due(now, status.serves_callers);
+                let due =
+                    instance.membership.borrow_mut().heartbeats_due(now, status.serves_callers);
                 send_heartbeat(&instance, &due);
                 continue;
             }
@@ -68,13 +71,13 @@
 
 /// Changes found by other instances are logged by those as well, so they are subject to the line
 /// budget here.
-fn log_belief(instance: &Instance, change: &Belief) {
-    if !change.is_own && !instance.may_log(LogLineKind::Peer) {
+fn log_belief(instance: &Instance, change: &ReachabilityChange) {
+    if !change.is_detected_here && !instance.may_log(LogLineKind::Peer) {
         return;
     }
     let silence_ms = change.silence.0 / 1_000;
     let peer = change.member.id.0.as_str();
-    let (is_up, is_own) = (change.is_up, change.is_own);
+    let (is_up, is_own) = (change.is_up, change.is_detected_here);
     log::info!(peer, is_up, is_own, silence_ms; "instance reachable or silent");
 }
 
@@ -115,14 +118,14 @@
 }
 
 /// Selects the recipients that need a status change at once.
-fn audience(last_sent: &Vitals, now: &Vitals) -> Audience {
+fn audience(last_sent: &InstanceStatus, now: &InstanceStatus) -> Audience {
     let is_for_all = last_sent.is_ready != now.is_ready
         || last_sent.is_leaving != now.is_leaving
         || last_sent.store != now.store
         || last_sent.is_watching != now.is_watching
         || last_sent.serves_callers != now.serves_callers;
-    let is_for_serving =
-        last_sent.crosses != now.crosses || is_rate_changed(last_sent.rate, now.rate);
+    let is_for_serving = last_sent.sends_cross_domain != now.sends_cross_domain
+        || is_rate_changed(last_sent.rate, now.rate);
     match (is_for_all, is_for_serving) {
         (true, _) => Audience::All,
         (false, true) => Audience::Serving,
@@ -139,14 +142,14 @@
 
 /// Sends a heartbeat to all other instances now.
 pub(crate) fn broadcast_heartbeat(instance: &Instance) {
-    let all = instance.membership.borrow().all();
+    let all = instance.membership.borrow().reachable_addresses();
     send_heartbeat(instance, &all);
 }
 
 /// Sends a heartbeat now to the instances that receive this one's periodic heartbeats, so that they
 /// learn where newer state is available.
 pub(super) fn notify_targets(instance: &Instance) {
-    let targets = instance.membership.borrow().targets();
+    let targets = instance.membership.borrow().target_addresses();
     send_heartbeat(instance, &targets);
 }
 
@@ -158,7 +161,8 @@
         let membership = instance.membership.borrow();
         (membership.accused(), membership.digest())
     };
-    let heartbeat = Beat { from: instance.incarnation, vitals: instance.status(), accused, digest };
+    let heartbeat =
+        Heartbeat { from: instance.incarnation, status: instance.status(), accused, digest };
     let datagram = encode(&Datagram::Heartbeat(heartbeat));
     to.iter().for_each(|address| instance.send(*address, &datagram, Flow::Heartbeat));
 }
@@ -166,7 +170,7 @@
 /// Notifies all other instances that this one is about to exit.
 pub(crate) fn broadcast_end(instance: &Instance) {
     let datagram = encode(&Datagram::End(instance.incarnation));
-    let all = instance.membership.borrow().all();
+    let all = instance.membership.borrow().reachable_addresses();
     all.iter().for_each(|address| instance.send(*address, &datagram, Flow::Members));
 }
 
@@ -199,7 +203,7 @@
         Datagram::Hello(member) => {
             let incarnation = member.incarnation;
             learn(instance, member);
-            instance.membership.borrow_mut().spoke(instance.now(), incarnation);
+            instance.membership.borrow_mut().record_contact(instance.now(), incarnation);
             send_members(instance, from);
             // A new instance fetches the state from an instance whose heartbeat shows that it has
             // one.
@@ -210,30 +214,30 @@
         Datagram::Notices(notices) => instance.apply_notices(&notices),
         Datagram::End(incarnation) => {
             log::info!(incarnation:% = incarnation; "instance has ended");
-            instance.membership.borrow_mut().ended(incarnation);
+            instance.membership.borrow_mut().remove(incarnation);
         }
     }
 }
 
-fn handle_heartbeat(instance: &Rc<Instance>, heartbeat: &Beat, from: SocketAddr) {
+fn handle_heartbeat(instance: &Rc<Instance>, heartbeat: &Heartbeat, from: SocketAddr) {
     let was_ready = instance.membership.borrow().is_ready(heartbeat.from);
-    let outcome = instance.membership.borrow_mut().hear(instance.now(), heartbeat);
+    let outcome = instance.membership.borrow_mut().apply_heartbeat(instance.now(), heartbeat);
     if !was_ready && instance.membership.borrow().is_ready(heartbeat.from) {
         instance.send_known_notices(from);
     }
-    if heartbeat.vitals.store == StoreHealth::Answering {
+    if heartbeat.status.store == StoreHealth::Answering {
         instance.record_store_answer();
     }
     match outcome {
-        Heard::Known => {}
-        Heard::Stranger => request_members(instance, &[from]),
-        Heard::Accused => refute_silence(instance),
-        Heard::Differs => {
+        HeartbeatOutcome::Known => {}
+        HeartbeatOutcome::UnknownSender => request_members(instance, &[from]),
+        HeartbeatOutcome::AccusesUs => refute_silence(instance),
+        HeartbeatOutcome::ViewDiffers => {
             log::info!(from:% = from; "membership differs; requesting members");
             request_members(instance, &[from]);
         }
     }
-    if pull::is_ahead(&heartbeat.vitals, &instance.status()) {
+    if pull::is_ahead(&heartbeat.status, &instance.status()) {
         pull::start(instance, from);
     }
 }
@@ -246,6 +250,6 @@
     }
     instance.refuted_at.set(now);
     log::info!("reported as silent by another instance; sending a heartbeat to all");
-    let everybody = instance.membership.borrow().everybody();
-    send_heartbeat(instance, &everybody);
+    let all_addresses = instance.membership.borrow().all_addresses();
+    send_heartbeat(instance, &all_addresses);
 }
--- a/crates/galenapath-gateway/src/notices.rs
+++ b/crates/galenapath-gateway/src/notices.rs
@@ -86,7 +86,7 @@
 
     /// Sends updates to all instances, because stray requests may reach any of them.
     pub(crate) fn broadcast_notices(&self, notices: &Notices) {
-        let all = self.membership.borrow().all();
+        let all = self.membership.borrow().reachable_addresses();
         self.send_notices(notices, &all);
     }
 
@@ -98,8 +98,8 @@
         }
         let to: Vec<SocketAddr> = {
             let membership = self.membership.borrow();
-            let serving = membership.peers().filter(|p| p.is_up() && p.vitals.serves_callers);
-            serving.map(|peer| peer.member.peers).collect()
+            let serving = membership.peers().filter(|p| p.is_up() && p.status.serves_callers);
+            serving.map(|peer| peer.member.peer_address).collect()
         };
         self.send_notices(&notices, &to);
     }
@@ -107,7 +107,7 @@
     /// Sends the notices in force to an instance that has just become ready. An instance in the
     /// same failure domain gets all known limits, so that it need not learn them from the servers.
     pub(crate) fn send_known_notices(&self, address: SocketAddr) {
-        let is_local = self.membership.borrow().is_home(&address);
+        let is_local = self.membership.borrow().is_local(&address);
         let limits =
             if is_local { Placement::reportable_limits } else { Placement::limits_to_repeat };
         self.send_notices(&self.notices(limits), &[address]);
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -350,7 +350,7 @@
 /// The warm-up parameters of a service.
 fn warm_up(spec: &ServiceSpec) -> Option<WarmUp> {
     let warm_up = spec.warm_up?;
-    Some(WarmUp { duration: warm_up.lasts.into(), per_second: warm_up.per_second })
+    Some(WarmUp { duration: warm_up.duration.into(), per_second: warm_up.per_second })
 }
 
 /// The retry budget of an instance that serves `share` of all requests.
--- /dev/null
+++ b/crates/galenapath-membership/src/heartbeat_membership.rs
@@ -0,0 +1,321 @@
+//! Detects which entry instances are available, from heartbeats that each sends to a bounded number
+//! of others.
+//!
+//! Load pattern: an address answer that contains a dead instance costs each of its callers a second
+//! of connecting, and callers wait little longer than that. A death has to be known on all
+//! instances in about a second, at a cost per instance that does not grow with the fleet. Instances
+//! that are merely slow must not be removed, nor may an observer that is itself cut off remove
+//! others.
+//!
+//! Every instance sends heartbeats to some instances that follow it in the order of incarnations.
+//! Most of them are in its own failure domain, since traffic between domains is billed; some are in
+//! others, so that the loss of a whole domain is detected. In a small fleet all others are targets.
+//!
+//! An instance that receives no heartbeat for [`HeartbeatConfig::silent_after`] removes the sender
+//! from its own answers and reports it to all others. An instance that does not monitor the sender
+//! considers it down once two observers report it, not one, until it receives a heartbeat from the
+//! sender itself. An instance that finds most of its monitored peers silent concludes that it is
+//! cut off and accuses none. An instance that learns that it is accused sends heartbeats to all
+//! others.
+//!
+//! The order is the same on all instances only while they know the same members. An instance that
+//! does not know a new one expects heartbeats that now go to the new one, and accuses instances
+//! that are up. Each heartbeat therefore carries a digest of the instances that its sender
+//! considers up, and an instance that receives a different digest for too long asks for the
+//! sender's members.
+
+use crate::{
+    Heartbeat, HeartbeatConfig, HeartbeatOutcome, LearnOutcome, Member, Peer, ReachabilityChange,
+    ring,
+};
+use galenapath_protocol::{DomainId, FastMap, FastSet, Incarnation, Micros};
+use std::net::SocketAddr;
+
+/// The other instances as this one knows them from heartbeats.
+#[derive(Debug)]
+pub struct HeartbeatMembership {
+    cfg: HeartbeatConfig,
+    own: Incarnation,
+    domain: DomainId,
+    peers: FastMap<Incarnation, Peer>,
+    /// Instances that send their heartbeats to this one.
+    ///
+    /// Invariant: this and `targets` follow from `peers` unless `are_targets_current` is false.
+    monitored: FastSet<Incarnation>,
+    /// Instances that this one sends its heartbeats to.
+    targets: FastSet<Incarnation>,
+    /// Whether `monitored` and `targets` match the present `peers`. They are computed once for all
+    /// changes since the last use, because hundreds of instances may join at the same moment.
+    are_targets_current: bool,
+    /// Addresses of the instances in the own failure domain.
+    local_addresses: FastSet<SocketAddr>,
+    ticked_at: Micros,
+    /// When a heartbeat last had the same digest as this instance.
+    agreed_at: Micros,
+    /// When another instance was last asked for its members because its digest differed.
+    synced_at: Micros,
+    /// Whether most of the monitored instances are silent, which means that this instance is cut
+    /// off.
+    is_isolated: bool,
+}
+
+impl HeartbeatMembership {
+    /// Creates a view without any other instance.
+    pub fn new(cfg: HeartbeatConfig, own: Incarnation, domain: DomainId, now: Micros) -> Self {
+        Self {
+            cfg,
+            own,
+            domain,
+            peers: FastMap::default(),
+            monitored: FastSet::default(),
+            targets: FastSet::default(),
+            are_targets_current: true,
+            local_addresses: FastSet::default(),
+            ticked_at: now,
+            agreed_at: now,
+            synced_at: now,
+            is_isolated: false,
+        }
+    }
+
+    /// Failure domain of this instance.
+    pub fn domain(&self) -> &DomainId {
+        &self.domain
+    }
+
+    /// The other instances, including silent ones.
+    pub fn peers(&self) -> impl Iterator<Item = &Peer> {
+        self.peers.values()
+    }
+
+    /// Whether no other instance is reachable.
+    pub fn is_alone(&self) -> bool {
+        !self.peers.values().any(Peer::is_up)
+    }
+
+    /// Adds an instance. A new incarnation replaces an older one at the same address.
+    pub fn learn(&mut self, now: Micros, member: Member) -> LearnOutcome {
+        if member.incarnation == self.own {
+            return LearnOutcome::Known;
+        }
+        if let Some(peer) = self.peers.get(&member.incarnation) {
+            return if peer.is_up { LearnOutcome::Known } else { LearnOutcome::KnownDown };
+        }
+        self.peers.retain(|_, peer| peer.member.peer_address != member.peer_address);
+        if member.domain == self.domain {
+            self.local_addresses.insert(member.peer_address);
+        } else {
+            self.local_addresses.remove(&member.peer_address);
+        }
+        let peer = Peer::new(now, member);
+        self.peers.insert(peer.member.incarnation, peer);
+        self.are_targets_current = false;
+        LearnOutcome::New
+    }
+
+    /// Records a message from an instance, which shows that it is up, whatever others report.
+    pub fn record_contact(&mut self, now: Micros, incarnation: Incarnation) {
+        if let Some(peer) = self.peers.get_mut(&incarnation) {
+            peer.record_contact(now);
+        }
+    }
+
+    /// Whether an instance is known to be ready.
+    pub fn is_ready(&self, incarnation: Incarnation) -> bool {
+        self.peers.get(&incarnation).is_some_and(|peer| peer.status.is_ready)
+    }
+
+    /// Applies a received heartbeat.
+    pub fn apply_heartbeat(&mut self, now: Micros, heartbeat: &Heartbeat) -> HeartbeatOutcome {
+        for accused in &heartbeat.accused {
+            if let Some(peer) = self.peers.get_mut(accused) {
+                peer.accusers.insert(heartbeat.from, now);
+            }
+        }
+        let Some(peer) = self.peers.get_mut(&heartbeat.from) else {
+            return HeartbeatOutcome::UnknownSender;
+        };
+        peer.record_contact(now);
+        peer.status = heartbeat.status;
+        if heartbeat.accused.contains(&self.own) {
+            return HeartbeatOutcome::AccusesUs;
+        }
+        self.compare(now, heartbeat)
+    }
+
+    fn compare(&mut self, now: Micros, heartbeat: &Heartbeat) -> HeartbeatOutcome {
+        let agrees = heartbeat.digest == self.digest();
+        let Some(peer) = self.peers.get_mut(&heartbeat.from) else {
+            return HeartbeatOutcome::UnknownSender;
+        };
+        if agrees {
+            peer.differs_since = None;
+            self.agreed_at = now;
+            return HeartbeatOutcome::Known;
+        }
+        let since = *peer.differs_since.get_or_insert(now);
+        let since_sync = now - self.synced_at;
+        let differs_from_all =
+            now - self.agreed_at > self.cfg.settle_time && since_sync >= self.cfg.min_sync_interval;
+        let differs_for_long = now - since > self.cfg.max_peer_difference
+            && since_sync >= self.cfg.min_peer_sync_interval;
+        if !differs_from_all && !differs_for_long {
+            return HeartbeatOutcome::Known;
+        }
+        self.synced_at = now;
+        HeartbeatOutcome::ViewDiffers
+    }
+
+    /// Digest of the instances that are considered up, this one included. Incarnations are random
+    /// numbers, so their exclusive or identifies the set.
+    pub fn digest(&self) -> u64 {
+        let up = self.peers.values().filter(|peer| peer.is_up);
+        up.fold(self.own.0, |digest, peer| digest ^ peer.member.incarnation.0)
+    }
+
+    /// Removes an instance that has reported its end.
+    pub fn remove(&mut self, incarnation: Incarnation) {
+        self.peers.remove(&incarnation);
+        self.are_targets_current = false;
+    }
+
+    /// Checks which instances have become silent or reachable again. Returns the changes.
+    pub fn tick(&mut self, now: Micros) -> Vec<ReachabilityChange> {
+        let pause = now - self.ticked_at;
+        self.ticked_at = now;
+        if pause > self.cfg.max_tick_gap {
+            for peer in self.peers.values_mut() {
+                peer.last_contact_at = now;
+            }
+        }
+        let cfg = &self.cfg;
+        let known = self.peers.len();
+        self.peers.retain(|_, peer| now - peer.last_contact_at < cfg.forget_after);
+        self.are_targets_current &= self.peers.len() == known;
+        self.update_targets();
+        let monitored = &self.monitored;
+        let silent = |peer: &Peer| now - peer.last_contact_at > self.cfg.silent_after;
+        let silent_count =
+            self.peers.iter().filter(|(id, p)| monitored.contains(*id) && silent(p)).count();
+        self.is_isolated = monitored.len() > 2 && silent_count * 2 > monitored.len();
+        let mut changes = Vec::new();
+        for (id, peer) in &mut self.peers {
+            let silence = now - peer.last_contact_at;
+            peer.accusers.retain(|_, at| now - *at < self.cfg.accusation_ttl);
+            let is_own = monitored.contains(id);
+            let is_up = if is_own {
+                silence <= self.cfg.silent_after
+            } else {
+                // Accusations are sent once and expire. The instance stays down until a message
+                // from it arrives.
+                !peer.awaits_contact && peer.accusers.len() < self.cfg.required_accusers
+            };
+            if is_up != peer.is_up {
+                peer.is_up = is_up;
+                peer.awaits_contact = !is_up;
+                changes.push(ReachabilityChange {
+                    member: peer.member.clone(),
+                    is_up,
+                    silence,
+                    is_detected_here: is_own,
+                });
+            }
+        }
+        changes
+    }
+
+    /// Whether so many monitored instances are silent that this one must be cut off itself.
+    pub fn is_isolated(&self) -> bool {
+        self.is_isolated
+    }
+
+    /// Longest silence among the monitored instances that are considered up.
+    pub fn longest_silence(&self, now: Micros) -> Micros {
+        let monitored = self.peers.iter().filter(|(id, p)| p.is_up && self.monitored.contains(*id));
+        monitored.map(|(_, peer)| now - peer.last_contact_at).max().unwrap_or(Micros::ZERO)
+    }
+
+    /// Monitored instances that are silent, to be reported in heartbeats. Empty while this instance
+    /// is isolated.
+    pub fn accused(&self) -> Vec<Incarnation> {
+        if self.is_isolated {
+            return Vec::new();
+        }
+        let monitored = &self.monitored;
+        let silent = self.peers.iter().filter(|(id, p)| !p.is_up && monitored.contains(*id));
+        silent.map(|(id, _)| *id).collect()
+    }
+
+    /// Addresses that a heartbeat is due to now; each is recorded as sent. An instance that serves
+    /// callers also sends to its whole failure domain.
+    pub fn heartbeats_due(&mut self, now: Micros, serves_callers: bool) -> Vec<SocketAddr> {
+        self.update_targets();
+        let cfg = &self.cfg;
+        let mut due = Vec::new();
+        for (id, peer) in &mut self.peers {
+            let is_target = self.targets.contains(id);
+            let is_local = || peer.member.domain == self.domain;
+            let pause = match peer.is_up {
+                true if is_target => cfg.period,
+                true if serves_callers && is_local() => cfg.local_period,
+                false if is_target || self.monitored.contains(id) => cfg.silent_period,
+                _ => continue,
+            };
+            // Tolerates timers that fire half a millisecond early or late.
+            if now + Micros(500) >= peer.last_sent_at + pause {
+                peer.last_sent_at = now;
+                due.push(peer.member.peer_address);
+            }
+        }
+        due
+    }
+
+    /// Addresses of all others that are considered up, for urgent updates.
+    pub fn reachable_addresses(&self) -> Vec<SocketAddr> {
+        self.peers.values().filter(|peer| peer.is_up).map(|peer| peer.member.peer_address).collect()
+    }
+
+    /// Addresses of all others, including silent ones: an instance that considers this one down may
+    /// itself be considered down here.
+    pub fn all_addresses(&self) -> Vec<SocketAddr> {
+        self.peers.values().map(|peer| peer.member.peer_address).collect()
+    }
+
+    /// Addresses of reachable instances that are in the own failure domain or serve callers, for
+    /// updates that only these use.
+    pub fn local_and_serving_addresses(&self) -> Vec<SocketAddr> {
+        let is_recipient = |peer: &&Peer| {
+            peer.is_up && (peer.member.domain == self.domain || peer.status.serves_callers)
+        };
+        self.peers.values().filter(is_recipient).map(|peer| peer.member.peer_address).collect()
+    }
+
+    /// Addresses of the reachable targets of heartbeats.
+    pub fn target_addresses(&self) -> Vec<SocketAddr> {
+        let targets = self.peers.iter().filter(|(id, p)| p.is_up && self.targets.contains(*id));
+        targets.map(|(_, peer)| peer.member.peer_address).collect()
+    }
+
+    /// Whether an instance of the own failure domain has this address.
+    pub fn is_local(&self, address: &SocketAddr) -> bool {
+        self.local_addresses.contains(address)
+    }
+
+    /// Recomputes the monitored instances and targets if the instances have changed.
+    fn update_targets(&mut self) {
+        if std::mem::replace(&mut self.are_targets_current, true) {
+            return;
+        }
+        let others = self.peers.values().map(|p| (p.member.incarnation, &p.member.domain));
+        let mut ring: Vec<(Incarnation, &DomainId)> = others.collect();
+        ring.push((self.own, &self.domain));
+        ring.sort_unstable();
+        let targets_of = |at: usize| ring::heartbeat_targets(&self.cfg, &ring, at);
+        let own = ring.iter().position(|(id, _)| *id == self.own).unwrap_or(0);
+        let targets: FastSet<Incarnation> = targets_of(own).into_iter().collect();
+        let targets_us = |at: &usize| *at != own && targets_of(*at).contains(&self.own);
+        let monitored = (0..ring.len()).filter(targets_us).map(|at| ring[at].0).collect();
+        self.targets = targets;
+        self.monitored = monitored;
+    }
+}
--- a/crates/galenapath-membership/src/leaving.rs
+++ b/crates/galenapath-membership/src/leaving.rs
@@ -1,17 +1,17 @@
-//! Which backend servers are leaving, whoever said so first.
+//! Which backend servers are leaving, as reported by the servers or by peers.
 //!
-//! The platform's list lags, so it may show a server as live long after the server itself, or a
-//! peer, has said that it leaves. A mark is therefore never taken back by the list. It names one
-//! run of the server by its start time, so that a server which comes back is used again.
+//! The platform's list lags behind, so it may show a server as live long after the server itself or
+//! a peer has reported that it is leaving. The list therefore never removes a mark. A mark names
+//! one run of the server by its start time, so that a server that starts again is used again.
 
 use galenapath_protocol::{BackendId, FastMap, Micros};
 
-/// Most marks kept; the oldest go first. Far above the number of servers that leave within
-/// `KEEP` at the largest size designed for (440 replacements a day).
-const MOST_MARKS: usize = 4_096;
+/// Maximum number of marks; the oldest are removed first. Far above the number of servers that
+/// leave within `MARK_TTL` at the largest size designed for (440 replacements a day).
+const MAX_MARKS: usize = 4_096;
 
 /// How long a mark is kept; longer than any lag of the platform's list.
-const KEEP: Micros = Micros::from_secs(3_600);
+const MARK_TTL: Micros = Micros::from_secs(3_600);
 
 /// A run of a backend server that is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -23,7 +23,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Marked {
+struct MarkedRun {
     started: u64,
     at: Micros,
 }
@@ -31,17 +31,17 @@
 /// Marks of backend servers that are leaving.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingMarks {
-    marks: FastMap<BackendId, Marked>,
+    marks: FastMap<BackendId, MarkedRun>,
 }
 
 impl LeavingMarks {
-    /// Takes in a mark; returns whether it was new, and so worth telling peers.
+    /// Records a mark. Returns whether it was new and has to be sent to peers.
     pub fn mark(&mut self, now: Micros, mark: &LeavingMark) -> bool {
         if self.is_leaving(&mark.backend, mark.started) {
             return false;
         }
         self.make_room(now);
-        self.marks.insert(mark.backend.clone(), Marked { started: mark.started, at: now });
+        self.marks.insert(mark.backend.clone(), MarkedRun { started: mark.started, at: now });
         true
     }
 
@@ -62,11 +62,11 @@
     }
 
     fn make_room(&mut self, now: Micros) {
-        if self.marks.len() < MOST_MARKS {
+        if self.marks.len() < MAX_MARKS {
             return;
         }
-        self.marks.retain(|_, marked| now < marked.at + KEEP);
-        if self.marks.len() < MOST_MARKS {
+        self.marks.retain(|_, marked| now < marked.at + MARK_TTL);
+        if self.marks.len() < MAX_MARKS {
             return;
         }
         let oldest = self.marks.iter().min_by_key(|(_, marked)| marked.at);
--- a/crates/galenapath-routes/src/lib.rs
+++ b/crates/galenapath-routes/src/lib.rs
@@ -1,7 +1,7 @@
-//! What an operator's whole configuration says: routes by host and prefix, services, limits; and
-//! the backend servers that the platform lists.
+//! The operator's configuration (routes by host and prefix, services, limits) and the backend
+//! servers that the platform lists.
 //!
-//! Pure values and rules: nothing here reads a socket or a clock.
+//! Pure values and rules: this crate uses neither sockets nor clocks.
 
 mod changes;
 mod directory;
@@ -10,15 +10,15 @@
 mod route;
 mod server;
 mod service;
-mod split;
 mod table;
+mod weighted_round_robin;
 
-pub use changes::{Change, ListNews, ListedServer, Removal, ServerChanges};
+pub use changes::{Change, ListedServer, Removal, ServerChanges, VisibleChange};
 pub use directory::Directory;
 pub use evacuations::{Evacuation, Evacuations};
 pub use limits::CallerLimits;
-pub use route::{Part, Route, RouteKind};
+pub use route::{Route, RouteKind, WeightedService};
 pub use server::{ServerRecord, ServerState, StartedAt};
 pub use service::{ServiceSpec, WarmUp};
-pub use split::SplitTurn;
 pub use table::{RouteTable, TableError};
+pub use weighted_round_robin::WeightedRoundRobin;
