--- a/crates/galenapath-entry/src/control/gossip.rs
+++ b/crates/galenapath-entry/src/control/gossip.rs
@@ -110,7 +110,7 @@
     let facts = suspects(&news.crashes, &news.cleared);
     if !facts.is_empty() {
         plane.suspects.borrow_mut().merge(plane.now(), &facts);
-        let _ = plane.wiring.commands.try_send(DataCommand::Suspects(facts));
+        let _ = plane.wiring.commands.try_send(DataCommand::MergeSuspects(facts));
     }
     if let Some(sender) = news.members.first() {
         plane.note_peer_version(Incarnation(sender.incarnation), Version(news.config_version));
--- a/crates/galenapath-entry/src/control/operators/views.rs
+++ b/crates/galenapath-entry/src/control/operators/views.rs
@@ -112,7 +112,7 @@
 }
 
 fn explain_wire(explanation: Explanation) -> ExplainWire {
-    let tried = explanation.tried.iter();
+    let tried = explanation.attempts.iter();
     ExplainWire {
         backends: tried.map(|tried| format!("{}: {}", tried.backend, tried.end)).collect(),
         id: explanation.id(),
--- a/crates/galenapath-entry/src/control/stop.rs
+++ b/crates/galenapath-entry/src/control/stop.rs
@@ -5,7 +5,7 @@
 
 use super::plane::ControlPlane;
 use super::{gossip, lists};
-use crate::data::{DataCommand, SUCCESSORS};
+use crate::data::{DataCommand, SUCCESSOR_COUNT};
 use crate::shared::Stage;
 use galenapath_filings::{HandOver, successors};
 use galenapath_peers::{HandOverWire, PeerCall};
@@ -71,7 +71,7 @@
     let own = plane.shared.incarnation;
     let usable: Vec<_> = plane.members.borrow().usable().map(|m| m.incarnation).collect();
     let parts = HandOver::parts(outcomes, PART_BYTES);
-    for successor in successors(own, &usable, SUCCESSORS) {
+    for successor in successors(own, &usable, SUCCESSOR_COUNT) {
         let to = plane.members.borrow().find(successor).map(|member| member.peers);
         let Some(to) = to else { continue };
         let mut taken = 0;
@@ -97,5 +97,5 @@
         return false;
     };
     let from = Incarnation(wire.incarnation);
-    plane.wiring.commands.try_send(DataCommand::Adopt { from, outcomes }).is_ok()
+    plane.wiring.commands.try_send(DataCommand::ApplyHandOver { from, outcomes }).is_ok()
 }
--- a/crates/galenapath-entry/src/data/attempt.rs
+++ b/crates/galenapath-entry/src/data/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one backend server.
+//! One attempt to have a request answered by one backend server.
 
 use super::backend::Backend;
 use super::plane::DataPlane;
@@ -18,45 +18,46 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A backend server's own word that it did not run the request.
+/// Header in which a backend server states that it did not run the request.
 const NOT_RUN_HEADER: &str = "galenapath-not-run";
 
-/// Answers up to this many bytes are read whole before the caller gets their first byte, so that
-/// one that breaks off can be fetched again elsewhere.
-pub(super) const BUFFERED_ANSWER: usize = 64 * 1024;
+/// Answers up to this size are buffered completely before the first byte is sent to the caller, so
+/// that the request can be retried on another backend server if the answer is truncated.
+pub(super) const BUFFERED_ANSWER_BYTES: usize = 64 * 1024;
 
-/// Longest time to connect. Backend servers take about 1 ms to open a connection; a lost packet
-/// is sent again after a second.
-const CONNECT_LIMIT: Duration = Duration::from_millis(1_200);
+/// Maximum time to connect. Backend servers take about 1 ms to open a connection; TCP retransmits a
+/// lost packet after 1 s.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Longer than any deadline: the attempt's own timeout ends the wait for the head of an answer.
-const HEAD_WAIT: Duration = Duration::from_secs(2 * 3_600);
+/// Timeout for the head of an answer. Longer than any deadline, because the attempt's own timeout
+/// ends the wait.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2 * 3_600);
 
-/// Why an attempt gave no answer.
+/// Reason for which an attempt produced no answer.
 #[derive(Debug, Error)]
-pub(super) enum Fault {
-    /// No connection could be had.
+pub(super) enum AttemptError {
+    /// No connection was available or could be opened.
     #[error("no connection: {0}")]
     Connect(std::io::Error),
-    /// The backend server turned the request away.
+    /// The backend server rejected the request without running it.
     #[error("the backend server turned the request away")]
     Shed,
-    /// The filing's record was closed in the meantime; nothing was sent.
+    /// The record of the filing was closed before the filing was sent; nothing was sent.
     #[error("the request was withdrawn before it was sent")]
     Withdrawn,
-    /// The connection broke, or what came is no HTTP.
+    /// The connection was lost, or the answer is not valid HTTP.
     #[error("{0}")]
     Http(HttpError),
-    /// The caller went away or sent a body that cannot be read; no fault of the backend server.
+    /// The caller disconnected or sent an invalid body; not a failure of the backend server.
     #[error("the request's body: {0}")]
     Caller(HttpError),
-    /// No answer before the deadline.
+    /// The deadline passed before the answer arrived.
     #[error("no answer before the deadline")]
     TimedOut,
 }
 
-impl Fault {
-    /// Whether the backend server may have run the request.
+impl AttemptError {
+    /// Returns whether the backend server may have run the request.
     pub(super) const fn verdict(&self) -> Verdict {
         match self {
             Self::Connect(_) | Self::Shed | Self::Withdrawn => Verdict::NotRun,
@@ -64,10 +65,10 @@
         }
     }
 
-    /// What the fault says about the backend server.
+    /// Returns the outcome that is recorded for the backend server.
     pub(super) fn outcome(&self) -> Outcome {
         match self {
-            // The own share of connections is used up: no fault of the server.
+            // This instance's connection share is used up, which is not a failure of the server.
             Self::Connect(e) if e.kind() == std::io::ErrorKind::WouldBlock => Outcome::Cancelled,
             Self::Connect(_) => Outcome::FastFailure,
             Self::Shed => Outcome::Shed,
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Whether the connection was lost with the request on it, as in a crash.
-    pub(super) const fn is_lost(&self) -> bool {
+    /// Returns whether the connection was lost while the request was on it, as in a crash.
+    pub(super) const fn is_connection_lost(&self) -> bool {
         matches!(self, Self::Http(HttpError::Closed | HttpError::Truncated | HttpError::Io(_)))
     }
 }
@@ -88,56 +89,60 @@
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) framing: Framing,
-    /// The start of the body; all of it when `rest` is `None`.
+    /// The buffered start of the body; the whole body if `rest` is `None`.
     pub(super) start: Bytes,
-    /// The connection with the rest of a body that is too large to be read first.
+    /// The unread rest of a body that is too large to be buffered.
     pub(super) rest: Option<Rest>,
 }
 
-/// The rest of a body.
+/// The unread rest of a body and the connection that it arrives on.
 pub(super) struct Rest {
     pub(super) connection: Pooled,
     pub(super) state: BodyState,
 }
 
-/// Where an attempt goes and when it is given up.
+/// The backend server of an attempt, and the deadline.
 pub(super) struct Target<'a> {
     pub(super) plane: &'a DataPlane,
     pub(super) service: &'a Service,
-    pub(super) slot: BackendHandle,
+    pub(super) handle: BackendHandle,
     pub(super) backend: &'a Backend,
     pub(super) deadline: Micros,
 }
 
-/// Sends a request and reads the answer, or the start of a large one. `attempts` counts those on the
-/// whole chain of calls, this one included. `before_send` is asked right
-/// before the first byte may leave; `false` withdraws the request.
+/// Sends a request and reads the answer, or the start of a large one.
+///
+/// `attempts` is the number of attempts over the whole chain of calls, this one included.
+/// `before_send` is called immediately before the first byte is sent; if it returns `false`, the
+/// request is withdrawn.
 pub(super) async fn attempt(
     target: &Target<'_>,
     req: &Prepared,
     attempts: u32,
     before_send: impl FnOnce() -> bool,
-) -> Result<Reply, Fault> {
-    let limit = time_left(target).min(CONNECT_LIMIT);
-    let mut connection = target.backend.pool.checkout(limit).await.map_err(Fault::Connect)?;
+) -> Result<Reply, AttemptError> {
+    let timeout = time_left(target).min(CONNECT_TIMEOUT);
+    let mut connection =
+        target.backend.pool.checkout(timeout).await.map_err(AttemptError::Connect)?;
     if !before_send() {
-        connection.give_back();
-        return Err(Fault::Withdrawn);
+        connection.return_to_pool();
+        return Err(AttemptError::Withdrawn);
     }
     let exchange = exchange(&mut connection, req, attempts);
     let head = monoio::time::timeout(time_left(target), exchange)
         .await
-        .map_err(|_| Fault::TimedOut)?
-        .map_err(Fault::Http)?;
-    take_report(target, &head.headers);
+        .map_err(|_| AttemptError::TimedOut)?
+        .map_err(AttemptError::Http)?;
+    apply_report(target, &head.headers);
     let reply = read_start(target, connection, &req.method, head).await?;
     if reply.status == StatusCode::SERVICE_UNAVAILABLE && reply.headers.contains_key(NOT_RUN_HEADER)
     {
-        return Err(Fault::Shed);
+        return Err(AttemptError::Shed);
     }
     Ok(reply)
 }
 
+/// Returns the time until the deadline of an attempt.
 pub(super) fn time_left(target: &Target<'_>) -> Duration {
     (target.deadline - target.plane.now()).into()
 }
@@ -156,11 +161,11 @@
     read_final_head(connection).await
 }
 
-/// Reads the head of the answer, skipping interim ones.
+/// Reads the head of the final answer; heads of interim (1xx) answers are skipped.
 pub(super) async fn read_final_head(
     connection: &mut Connection,
 ) -> Result<ResponseHead, HttpError> {
-    let times = HeadTimes { idle: HEAD_WAIT, head: HEAD_WAIT };
+    let times = HeadTimes { idle: HEAD_TIMEOUT, head: HEAD_TIMEOUT };
     loop {
         let head = connection.read_response(times).await?;
         if !head.status.is_informational() {
@@ -174,18 +179,19 @@
     mut connection: Pooled,
     method: &Method,
     head: ResponseHead,
-) -> Result<Reply, Fault> {
-    let framing = response_framing(method, head.status, &head.headers).map_err(Fault::Http)?;
+) -> Result<Reply, AttemptError> {
+    let framing =
+        response_framing(method, head.status, &head.headers).map_err(AttemptError::Http)?;
     let mut state = BodyState::new(framing);
     let mut start = BytesMut::new();
-    while start.len() < BUFFERED_ANSWER {
+    while start.len() < BUFFERED_ANSWER_BYTES {
         let piece = monoio::time::timeout(time_left(target), connection.read_body(&mut state));
-        let piece = piece.await.map_err(|_| Fault::TimedOut)?.map_err(Fault::Http)?;
+        let piece = piece.await.map_err(|_| AttemptError::TimedOut)?.map_err(AttemptError::Http)?;
         let Some(piece) = piece else { break };
         start.extend_from_slice(&piece);
     }
     let rest = if state.is_complete() {
-        release(connection, framing, &head);
+        return_if_reusable(connection, framing, &head);
         None
     } else {
         Some(Rest { connection, state })
@@ -193,38 +199,39 @@
     Ok(Reply { status: head.status, headers: head.headers, framing, start: start.freeze(), rest })
 }
 
-fn release(connection: Pooled, framing: Framing, head: &ResponseHead) {
+fn return_if_reusable(connection: Pooled, framing: Framing, head: &ResponseHead) {
     if can_reuse(framing, head.version, &head.headers) {
-        connection.give_back();
+        connection.return_to_pool();
     }
 }
 
-/// Whether a connection may be used again after a complete answer.
+/// Returns whether a connection can be reused after a complete answer.
 pub(super) fn can_reuse(framing: Framing, version: http::Version, headers: &HeaderMap) -> bool {
     let closes = connection_has(headers, "close");
     framing != Framing::UntilClose && version == http::Version::HTTP_11 && !closes
 }
 
-/// Takes in the load report of an answer, and its word that the server is leaving.
-pub(super) fn take_report(target: &Target<'_>, headers: &HeaderMap) {
-    let Some(text) = super::request::text(headers, REPORT_HEADER) else { return };
+/// Applies the load report in the headers of an answer. The first report that states that the
+/// server is leaving is also sent to the control thread.
+pub(super) fn apply_report(target: &Target<'_>, headers: &HeaderMap) {
+    let Some(text) = super::request::header_text(headers, REPORT_HEADER) else { return };
     let Ok(report) = text.parse::<LoadReport>() else {
         target.plane.shared.metrics.fault("bad_report");
         return;
     };
     let now = target.plane.now();
     let mut state = target.service.state.borrow_mut();
-    state.balancer.report(now, target.slot, report);
+    state.balancer.report(now, target.handle, report);
     if !report.leaving {
         return;
     }
-    state.balancer.mark_leaving(target.slot);
-    if let Some(mark) = target.backend.leaving_mark() {
+    state.balancer.mark_leaving(target.handle);
+    if let Some(mark) = target.backend.take_leaving_mark() {
         let _ = target.plane.events.try_send(ControlEvent::Leaving(mark));
     }
 }
 
-/// What an answered request says about the backend server.
+/// Returns the outcome that is recorded for a backend server that answered with `status`.
 pub(super) fn outcome_of(status: StatusCode) -> Outcome {
     if status.is_server_error() { Outcome::FastFailure } else { Outcome::Answered }
 }
--- a/crates/galenapath-entry/src/data/backend.rs
+++ b/crates/galenapath-entry/src/data/backend.rs
@@ -1,4 +1,4 @@
-//! One backend server on the data path.
+//! A backend server as the data path uses it.
 
 use super::crash::RunningSet;
 use super::pool::Pool;
@@ -11,17 +11,18 @@
 
 /// One run of a backend server and the connections to it.
 pub(super) struct Backend {
-    /// Name in the platform's list.
+    /// Its name in the platform's list.
     pub(super) id: BackendId,
-    /// Start of the run, milliseconds since the Unix epoch.
+    /// Start of the run, in milliseconds since the Unix epoch.
     pub(super) started: u64,
-    /// Where it listens.
+    /// Address that it listens on.
     pub(super) address: SocketAddr,
     /// Connections to it.
     pub(super) pool: Rc<Pool>,
-    /// Requests of this instance that run on it.
+    /// Requests of this instance that are running on it.
     pub(super) running: RunningSet,
-    told_leaving: Cell<bool>,
+    /// Whether other instances know already that the server is leaving.
+    is_leaving_reported: Cell<bool>,
 }
 
 impl Backend {
@@ -32,23 +33,24 @@
             address: entry.address,
             pool: Rc::new(Pool::new(entry.address)),
             running: RunningSet::default(),
-            told_leaving: Cell::new(entry.leaving),
+            is_leaving_reported: Cell::new(entry.leaving),
         }
     }
 
-    /// Whether `entry` names this very run at this very address.
+    /// Returns whether `entry` lists this run of the server at this address.
     pub(super) fn is_same_run(&self, entry: &FleetBackend) -> bool {
         self.started == entry.started && self.address == entry.address
     }
 
-    /// Sets how many connections this instance may hold to the server.
+    /// Sets the maximum number of connections from this instance to the server.
     pub(super) fn set_share(&self, share: u32) {
         self.pool.set_share(share as usize);
     }
 
-    /// The mark to spread when the server says for the first time that it leaves.
-    pub(super) fn leaving_mark(&self) -> Option<LeavingMark> {
-        if self.told_leaving.replace(true) {
+    /// Returns the mark to send to other instances, if this is the first report that the server is
+    /// leaving.
+    pub(super) fn take_leaving_mark(&self) -> Option<LeavingMark> {
+        if self.is_leaving_reported.replace(true) {
             return None;
         }
         Some(LeavingMark { backend: self.id.clone(), started: self.started })
--- a/crates/galenapath-entry/src/data/call.rs
+++ b/crates/galenapath-entry/src/data/call.rs
@@ -1,6 +1,6 @@
-//! One request of a known class on its way through the instance.
+//! A request of a known class while it is being served.
 
-use super::answer::{About, OwnAnswer};
+use super::answer::{OwnAnswer, RequestInfo};
 use super::caller::Caller;
 use super::explain::Trace;
 use super::plane::DataPlane;
@@ -11,12 +11,12 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A request and what is needed to serve it.
+/// A request with the state needed to serve it.
 pub(super) struct Call {
     pub(super) plane: Rc<DataPlane>,
     pub(super) service: Rc<Service>,
     pub(super) meta: RequestMeta,
-    /// What happens to it; borrowed only between two awaits, and empty once it has ended.
+    /// Events of the request so far; empty after its end. Never borrowed across an await.
     pub(super) trace: RefCell<Trace>,
 }
 
@@ -26,8 +26,8 @@
         Self { plane: Rc::clone(plane), service, meta, trace }
     }
 
-    /// Ends the request with an own answer.
-    pub(super) async fn refuse(
+    /// Ends the request with an answer that the instance generates itself.
+    pub(super) async fn end_with(
         &self,
         caller: &mut Caller,
         answer: &OwnAnswer,
@@ -35,13 +35,13 @@
         let metrics = &self.plane.shared.metrics;
         let class = self.meta.class.name.as_str();
         metrics.rejections.with_label_values(&[class, answer.reason]).inc();
-        let about = About { id: self.meta.id, attempts: self.trace.borrow().attempts };
-        self.ended(answer.status.as_u16(), answer.verdict, answer.reason);
-        answer.send(caller, Some(about)).await
+        let request = RequestInfo { id: self.meta.id, attempts: self.trace.borrow().attempt_count };
+        self.record_end(answer.status.as_u16(), answer.verdict, answer.reason);
+        answer.send(caller, Some(request)).await
     }
 
-    /// Counts, logs and remembers the end of the request.
-    pub(super) fn ended(&self, status: u16, verdict: Verdict, reason: &'static str) {
+    /// Counts and logs the end of the request and adds it to the history.
+    pub(super) fn record_end(&self, status: u16, verdict: Verdict, reason: &'static str) {
         let meta = &self.meta;
         self.plane.shared.metrics.answered(&meta.class.name, verdict);
         log::debug!(
@@ -50,11 +50,11 @@
             "request ended"
         );
         let trace = self.trace.replace(Trace::new(meta.id));
-        let explanation = trace.explain(meta, self.plane.now(), status, verdict, reason);
+        let explanation = trace.into_explanation(meta, self.plane.now(), status, verdict, reason);
         self.plane.history.borrow_mut().push(explanation);
     }
 
-    /// Counts the time until the answer was there.
+    /// Records the time from the arrival of the request to its answer.
     pub(super) fn observe_latency(&self) {
         let took = (self.plane.now() - self.meta.arrived).as_millis_f64() / 1_000.0;
         let latency = &self.plane.shared.metrics.latency;
--- a/crates/galenapath-entry/src/data/caller.rs
+++ b/crates/galenapath-entry/src/data/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's connection.
+//! Connections from callers.
 
 use super::answer::OwnAnswer;
 use super::call::Call;
@@ -19,14 +19,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bodies of lookups and transfers up to this many bytes are read before the request is let in, so
-/// that it can be sent again; larger ones are streamed.
-const BUFFERED_BODY: u64 = 64 * 1024;
+/// Bodies of lookups and transfers up to this size are read before admission, so that the request
+/// can be retried; larger ones are streamed.
+const BUFFERED_BODY_BYTES: u64 = 64 * 1024;
 
-/// How long a caller that goes on sending is listened to while its connection closes.
-const CLOSING_TIME: Duration = Duration::from_secs(1);
+/// Maximum time for which the caller's data is still read while its connection is closed. Closing
+/// with unread data resets the connection, which can lose the answer.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A connection from a caller and the request that is being served on it.
+/// A connection from a caller, with the properties of the current request that affect the answer.
 pub(super) struct Caller {
     pub(super) connection: Connection,
     /// Method of the request; an answer to `HEAD` has no body.
@@ -35,21 +36,22 @@
     pub(super) keep_alive: bool,
     /// Whether the request is HTTP/1.0, whose answers must not be chunked.
     pub(super) is_http_10: bool,
-    /// Whether the caller waits for an interim answer before it sends the body.
+    /// Whether the caller waits for `100 Continue` before it sends the body.
     pub(super) expects_continue: bool,
 }
 
 impl Caller {
-    /// Tells a caller that waits for it to send the body.
-    pub(super) async fn ask_for_body(&mut self) -> Result<(), HttpError> {
+    /// Sends `100 Continue` if the caller waits for it, and flushes.
+    pub(super) async fn send_continue(&mut self) -> Result<(), HttpError> {
         if std::mem::take(&mut self.expects_continue) {
             self.connection.output().extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
         self.connection.flush().await
     }
 
-    /// Says in an answer's headers whether the connection stays open, where that is not understood.
-    pub(super) fn set_connection(&self, headers: &mut HeaderMap) {
+    /// Sets the `Connection` header of an answer, unless an HTTP/1.1 connection stays open, which
+    /// is the default.
+    pub(super) fn set_connection_header(&self, headers: &mut HeaderMap) {
         if !self.keep_alive {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         } else if self.is_http_10 {
@@ -73,22 +75,23 @@
         let head = match caller.connection.read_request(times).await {
             Ok(head) => head,
             Err(e) => {
-                refuse(&plane, &mut caller, &e).await;
-                caller.connection.close(CLOSING_TIME).await;
+                answer_read_error(&plane, &mut caller, &e).await;
+                caller.connection.close(LINGER_TIMEOUT).await;
                 return;
             }
         };
-        // Boxed, so that an idle connection does not hold the room of a request in progress.
+        // Boxed so that an idle connection does not keep the memory of a request in progress.
         let result = Box::pin(serve_one(&plane, &mut caller, head)).await;
         if result.is_err() || !caller.keep_alive {
-            caller.connection.close(CLOSING_TIME).await;
+            caller.connection.close(LINGER_TIMEOUT).await;
             return;
         }
     }
 }
 
-/// Answers a request whose head cannot be used, where an answer makes sense, and closes.
-async fn refuse(plane: &DataPlane, caller: &mut Caller, e: &HttpError) {
+/// Answers a request whose head or body cannot be read, unless the caller has disconnected. The
+/// connection is not reused.
+async fn answer_read_error(plane: &DataPlane, caller: &mut Caller, e: &HttpError) {
     let (status, reason) = match e {
         HttpError::Io(e) if e.kind() == ErrorKind::TimedOut => {
             (StatusCode::REQUEST_TIMEOUT, "body_timeout")
@@ -105,7 +108,7 @@
     plane.shared.metrics.fault(reason);
     caller.keep_alive = false;
     let answer = OwnAnswer::not_run(status, reason, &e.to_string());
-    // The connection is closed in any case.
+    // The connection is closed whether or not this fails.
     let _ = answer.send(caller, None).await;
 }
 
@@ -114,7 +117,7 @@
     caller: &mut Caller,
     head: RequestHead,
 ) -> Result<(), HttpError> {
-    let _guard = plane.begin();
+    let _guard = plane.begin_request();
     caller.method = head.method.clone();
     caller.is_http_10 = head.version == Version::HTTP_10;
     caller.expects_continue = expects_continue(&head);
@@ -122,7 +125,7 @@
     let framing = match request_framing(head.version, &head.headers) {
         Ok(framing) => framing,
         Err(e) => {
-            refuse(plane, caller, &e).await;
+            answer_read_error(plane, caller, &e).await;
             return Err(e);
         }
     };
@@ -130,11 +133,11 @@
     let route = route(&config, &head);
     match route {
         Route::Entries { service } => {
-            skip_body(caller, framing);
+            close_if_body_unread(caller, framing);
             entries::answer(plane, caller, service.as_deref(), &config).await
         }
         Route::Unknown(answer) => {
-            skip_body(caller, framing);
+            close_if_body_unread(caller, framing);
             answer.send(caller, None).await
         }
         Route::Class(class) => {
@@ -154,15 +157,18 @@
     config: &Config,
 ) -> Result<(), HttpError> {
     let service = plane.service(&meta.class.service, config);
-    service.state.borrow_mut().dispatching.count_request();
+    service.state.borrow_mut().dispatchers.count_request();
     let is_filing = meta.class.kind == ClassKind::Filing;
-    let limit =
-        if is_filing { plane.shared.settings.limits.filing_bytes as u64 } else { BUFFERED_BODY };
-    let pause = plane.shared.settings.limits.idle_timeout;
-    let body = match read_body(caller, meta.framing, limit, pause).await {
+    let limit = if is_filing {
+        plane.shared.settings.limits.filing_bytes as u64
+    } else {
+        BUFFERED_BODY_BYTES
+    };
+    let idle_timeout = plane.shared.settings.limits.idle_timeout;
+    let body = match read_body(caller, meta.framing, limit, idle_timeout).await {
         Ok(body) => body,
         Err(e) => {
-            refuse(plane, caller, &e).await;
+            answer_read_error(plane, caller, &e).await;
             return Err(e);
         }
     };
@@ -175,7 +181,7 @@
             let text = format!("the body of a filing may have {limit} bytes at most");
             let answer =
                 OwnAnswer::not_run(StatusCode::PAYLOAD_TOO_LARGE, "filing_too_large", &text);
-            call.refuse(caller, &answer).await
+            call.end_with(caller, &answer).await
         }
         BodyRead::TooLarge { start, state } => {
             stream::serve(&call, caller, head, start, state).await
@@ -183,6 +189,7 @@
     }
 }
 
+/// How a request is to be handled.
 enum Route {
     Entries { service: Option<String> },
     Class(Arc<Class>),
@@ -202,7 +209,7 @@
         return Route::Class(Arc::clone(class));
     }
     if path == entries::PATH {
-        return Route::Entries { service: entries::service_asked_for(&head.uri) };
+        return Route::Entries { service: entries::requested_service(&head.uri) };
     }
     let (reason, text) = if config.classes().any(|class| class.service == service) {
         ("unknown_class", format!("no class of service `{service}` takes this method and path"))
@@ -212,17 +219,18 @@
     Route::Unknown(OwnAnswer::not_run(StatusCode::NOT_FOUND, reason, &text))
 }
 
-/// An answer that comes before the body was read closes the connection, unless there is no body.
-fn skip_body(caller: &mut Caller, framing: Framing) {
+/// Marks the connection to be closed after the answer if the request has a body, because an unread
+/// body would be taken for the next request.
+fn close_if_body_unread(caller: &mut Caller, framing: Framing) {
     if framing != Framing::None {
         caller.keep_alive = false;
     }
 }
 
-/// The body of a request, as far as it was read.
+/// The result of reading a request's body up to a limit.
 enum BodyRead {
     Whole(Bytes),
-    /// More than the limit: what was read, and where the rest stands.
+    /// The body exceeds the limit: the part that was read, and the state for reading the rest.
     TooLarge {
         start: Bytes,
         state: BodyState,
@@ -233,15 +241,15 @@
     caller: &mut Caller,
     framing: Framing,
     limit: u64,
-    pause: Duration,
+    idle_timeout: Duration,
 ) -> Result<BodyRead, HttpError> {
     let mut state = BodyState::new(framing);
     if matches!(framing, Framing::Length(n) if n > limit) {
         return Ok(BodyRead::TooLarge { start: Bytes::new(), state });
     }
-    caller.ask_for_body().await?;
+    caller.send_continue().await?;
     let mut body = BytesMut::new();
-    while let Some(piece) = read_piece(&mut caller.connection, &mut state, pause).await? {
+    while let Some(piece) = read_piece(&mut caller.connection, &mut state, idle_timeout).await? {
         body.extend_from_slice(&piece);
         if body.len() as u64 > limit {
             return Ok(BodyRead::TooLarge { start: body.freeze(), state });
@@ -250,13 +258,13 @@
     Ok(BodyRead::Whole(body.freeze()))
 }
 
-/// Reads the next piece of a body; a sender that pauses for longer than `pause` is cut off.
+/// Reads the next piece of a body; fails if none arrives within `idle_timeout`.
 pub(super) async fn read_piece(
     connection: &mut Connection,
     state: &mut BodyState,
-    pause: Duration,
+    idle_timeout: Duration,
 ) -> Result<Option<Bytes>, HttpError> {
-    monoio::time::timeout(pause, connection.read_body(state))
+    monoio::time::timeout(idle_timeout, connection.read_body(state))
         .await
         .unwrap_or_else(|_| Err(HttpError::Io(std::io::ErrorKind::TimedOut.into())))
 }
--- a/crates/galenapath-entry/src/data/commands.rs
+++ b/crates/galenapath-entry/src/data/commands.rs
@@ -1,4 +1,4 @@
-//! What the other threads ask of the data thread.
+//! Commands that other threads send to the data thread.
 
 use super::explain::Explanation;
 use super::plane::DataPlane;
@@ -7,54 +7,55 @@
 use galenapath_protocol::Incarnation;
 use std::rc::Rc;
 
-/// A question or an order to the data thread.
+/// A command to the data thread.
 pub enum DataCommand {
-    /// Explain a request.
+    /// Returns the explanation of a request.
     Explain {
-        /// Its identifier.
+        /// Identifier of the request.
         id: String,
-        /// Where the explanation goes; `None` where the request is not remembered.
+        /// Receives the explanation, or `None` if the request is not in the history.
         reply: Sender<Option<Explanation>>,
     },
-    /// Take in what a peer knows of suspects.
-    Suspects(Vec<SuspectWire>),
-    /// Take over the outcomes of an incarnation that stops.
-    Adopt {
-        /// The incarnation.
+    /// Merges what another instance knows of crash suspects.
+    MergeSuspects(Vec<SuspectWire>),
+    /// Applies the filing outcomes handed over by an incarnation that is stopping.
+    ApplyHandOver {
+        /// The incarnation that is stopping.
         from: Incarnation,
-        /// Its outcomes.
+        /// The outcomes of its filings.
         outcomes: Vec<HandOver>,
     },
-    /// Take no new filings, because the instance is stopping.
+    /// Rejects new filings from now on, because the instance is stopping.
     BeginStop,
-    /// Tell how many requests are being served.
+    /// Returns the number of requests in progress.
     InProgress {
-        /// Where the number goes.
+        /// Receives the number.
         reply: Sender<usize>,
     },
-    /// Give up all filings and tell their outcomes.
+    /// Returns the known outcomes of filings, for a planned stop. New filings are rejected from
+    /// then on.
     HandOver {
-        /// Where they go.
+        /// Receives the outcomes.
         reply: Sender<Vec<HandOver>>,
     },
 }
 
-/// Carries out commands until the senders are gone.
+/// Executes commands until all senders are dropped.
 pub(super) async fn run(plane: Rc<DataPlane>, commands: Receiver<DataCommand>) {
     while let Ok(command) = commands.recv_async().await {
-        carry_out(&plane, command);
+        execute(&plane, command);
     }
 }
 
-/// Replies are dropped where the asker has gone.
-fn carry_out(plane: &DataPlane, command: DataCommand) {
+/// Executes one command. A reply that has no receiver any more is dropped.
+fn execute(plane: &DataPlane, command: DataCommand) {
     let now = plane.now();
     match command {
         DataCommand::Explain { id, reply } => {
             let _ = reply.try_send(plane.history.borrow().find(&id).cloned());
         }
-        DataCommand::Suspects(news) => plane.suspects.borrow_mut().merge(now, &news),
-        DataCommand::Adopt { from, outcomes } => {
+        DataCommand::MergeSuspects(reports) => plane.suspects.borrow_mut().merge(now, &reports),
+        DataCommand::ApplyHandOver { from, outcomes } => {
             plane.filings.borrow_mut().adopt(now, from, outcomes);
         }
         DataCommand::BeginStop => plane.filings.borrow_mut().begin_stop(),
--- a/crates/galenapath-entry/src/data/crash.rs
+++ b/crates/galenapath-entry/src/data/crash.rs
@@ -1,4 +1,8 @@
-//! Which requests were running on a backend server when it crashed.
+//! Detection of requests that crash backend servers.
+//!
+//! When a connection is lost, all requests that were running on the server become crash suspects.
+//! Later requests with the same fingerprint may be rejected, or may have to run isolated: on a
+//! server on which nothing else of this instance is running.
 
 use super::backend::Backend;
 use super::plane::DataPlane;
@@ -9,29 +13,30 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-/// Seed of the hash that names a backend server among suspects; the same on every instance.
+/// Seed of the hash that identifies a backend server in reports of suspects; the same on every
+/// instance.
 const BACKEND_SEED: u64 = 0;
 
-/// Fingerprints of the requests of this instance that run on one backend server.
+/// Fingerprints of the requests of this instance that are running on one backend server.
 #[derive(Default)]
 pub(super) struct RunningSet {
     running: RefCell<Vec<Fingerprint>>,
 }
 
 impl RunningSet {
-    /// Counts a request as running until the guard is dropped.
+    /// Adds a request until the returned guard is dropped.
     pub(super) fn enter(&self, fp: Fingerprint) -> Running<'_> {
         self.running.borrow_mut().push(fp);
         Running { set: self, fp }
     }
 
-    /// Whether nothing runs there.
+    /// Returns whether no request of this instance is running on the server.
     pub(super) fn is_empty(&self) -> bool {
         self.running.borrow().is_empty()
     }
 }
 
-/// A request that runs on a backend server.
+/// Guard of a request that is running on a backend server.
 pub(super) struct Running<'a> {
     set: &'a RunningSet,
     fp: Fingerprint,
@@ -40,30 +45,30 @@
 impl Drop for Running<'_> {
     fn drop(&mut self) {
         let mut running = self.set.running.borrow_mut();
-        if let Some(at) = running.iter().position(|fp| *fp == self.fp) {
-            running.swap_remove(at);
+        if let Some(index) = running.iter().position(|fp| *fp == self.fp) {
+            running.swap_remove(index);
         }
     }
 }
 
-/// Longest wait for peers to hear of a crash before the caller is told of it: several crossings
-/// between failure domains. A peer that has not answered by then hears by gossip.
-const PEERS_WAIT: Duration = Duration::from_millis(20);
+/// Maximum wait for the peers to acknowledge a crash before the caller is answered: several round
+/// trips between failure domains. A peer that has not answered by then learns of it by gossip.
+const PEER_NOTIFY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Word to the peers about a crash that is on its way.
-pub(super) struct Spreading(Receiver<()>);
+/// A notification of the peers about a crash that they have not acknowledged yet.
+pub(super) struct PeerNotification(Receiver<()>);
 
-impl Spreading {
-    /// Waits until the peers have heard. A caller that sends a request again as soon as it is told
-    /// of its failure would else find an instance that knows of one crash less.
-    pub(super) async fn done(self) {
-        let _ = monoio::time::timeout(PEERS_WAIT, self.0.recv_async()).await;
+impl PeerNotification {
+    /// Waits until the peers have acknowledged, at most `PEER_NOTIFY_TIMEOUT`. Without the wait, a
+    /// caller that retries immediately could reach an instance that does not count this crash yet.
+    pub(super) async fn wait(self) {
+        let _ = monoio::time::timeout(PEER_NOTIFY_TIMEOUT, self.0.recv_async()).await;
     }
 }
 
-/// Notes that a connection was lost with a request on it: everything that runs on the server is
-/// suspected.
-pub(super) fn note_loss(plane: &DataPlane, backend: &Backend) -> Spreading {
+/// Records that a connection was lost while a request was on it. All requests that are running on
+/// the server become suspects, and the peers are notified.
+pub(super) fn record_connection_loss(plane: &DataPlane, backend: &Backend) -> PeerNotification {
     plane.shared.metrics.fault("connection_lost");
     let name = hash64(BACKEND_SEED, backend.id.0.as_bytes());
     let running = backend.running.running.borrow();
@@ -71,42 +76,42 @@
     let mut suspects = plane.suspects.borrow_mut();
     suspects.crashed(now, name, &running);
     let (told, rx) = flume::bounded(1);
-    let note = CrashNote { facts: suspects.export(now), told };
-    let _ = plane.events.try_send(ControlEvent::Crash(note));
-    Spreading(rx)
+    let crash = CrashNote { facts: suspects.export(now), told };
+    let _ = plane.events.try_send(ControlEvent::Crash(crash));
+    PeerNotification(rx)
 }
 
-/// How a request may run, in view of the crashes known.
-pub(super) enum Clearance<'a> {
-    /// Like any other.
-    Free,
-    /// On a backend server on which nothing else of this instance runs.
-    Alone(Trial<'a>),
-    /// Not at all for now.
-    Refused(SuspectVerdict),
+/// How a request may run, given the known crashes.
+pub(super) enum RunPermission<'a> {
+    /// Without restrictions.
+    Unrestricted,
+    /// Only on a backend server on which nothing else of this instance is running.
+    Isolated(IsolatedRun<'a>),
+    /// Not at present.
+    Rejected(SuspectVerdict),
 }
 
-/// A suspect that runs alone. Dropping it ends the trial.
-pub(super) struct Trial<'a> {
+/// Guard of a suspect that runs isolated. Dropping it ends the isolated run.
+pub(super) struct IsolatedRun<'a> {
     plane: &'a DataPlane,
     fp: Fingerprint,
 }
 
-impl Drop for Trial<'_> {
+impl Drop for IsolatedRun<'_> {
     fn drop(&mut self) {
         self.plane.suspects.borrow_mut().trial_ended(self.fp);
     }
 }
 
-/// Judges a request.
-pub(super) fn clearance(plane: &DataPlane, fp: Fingerprint) -> Clearance<'_> {
+/// Returns how a request may run. For a suspect that may run isolated, the isolated run begins.
+pub(super) fn check_permission(plane: &DataPlane, fp: Fingerprint) -> RunPermission<'_> {
     let mut suspects = plane.suspects.borrow_mut();
     match suspects.judge(plane.now(), fp) {
-        SuspectVerdict::Clear => Clearance::Free,
+        SuspectVerdict::Clear => RunPermission::Unrestricted,
         SuspectVerdict::RunAlone => {
             suspects.trial_started(fp);
-            Clearance::Alone(Trial { plane, fp })
+            RunPermission::Isolated(IsolatedRun { plane, fp })
         }
-        refuse @ SuspectVerdict::Refuse { .. } => Clearance::Refused(refuse),
+        rejection @ SuspectVerdict::Refuse { .. } => RunPermission::Rejected(rejection),
     }
 }
--- a/crates/galenapath-entry/src/data/dispatch.rs
+++ b/crates/galenapath-entry/src/data/dispatch.rs
@@ -1,14 +1,14 @@
-//! Trying one backend server.
+//! Choosing backend servers for a request and sending attempts to them.
 
 use super::answer::OwnAnswer;
-use super::attempt::{Fault, Reply, Target, attempt};
+use super::attempt::{AttemptError, Reply, Target, attempt};
 use super::backend::Backend;
 use super::call::Call;
-use super::crash::{self, Clearance, Spreading, Trial};
+use super::crash::{self, IsolatedRun, PeerNotification, RunPermission};
+use super::error_answers;
 use super::permit::{InFlight, Permit};
 use super::prepare::Prepared;
-use super::refusal;
-use super::request::number;
+use super::request::header_number;
 use super::service::State;
 use galenapath_config::ClassKind;
 use galenapath_policy::{AttemptCount, BackendHandle, MAX_ATTEMPTS, may_retry};
@@ -16,56 +16,60 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-/// An answer and the attempt that it came from.
+/// An answer and the attempt that produced it.
 pub(super) struct Served {
     pub(super) backend: BackendId,
     pub(super) in_flight: InFlight,
     pub(super) reply: Reply,
 }
 
-/// A request on its way to backend servers.
+/// The state of a request over all its attempts.
 pub(super) struct Dispatch<'a> {
     pub(super) call: &'a Call,
     req: &'a Prepared,
     /// Attempts made over the whole chain of calls.
     attempts: Cell<AttemptCount>,
-    /// Word to the peers about the last crash that the request was in.
-    spreading: RefCell<Option<Spreading>>,
-    /// Held while the request is a suspect that runs alone.
-    trial: Option<Trial<'a>>,
-    /// Backend servers tried already; borrowed only between two awaits.
+    /// Notification of the peers about the last crash that the request was involved in.
+    peer_notification: RefCell<Option<PeerNotification>>,
+    /// Held if the request is a crash suspect that runs isolated.
+    isolated_run: Option<IsolatedRun<'a>>,
+    /// Backend servers tried already. Never borrowed across an await.
     tried: RefCell<Vec<BackendHandle>>,
 }
 
 impl<'a> Dispatch<'a> {
-    /// Judges whether the request may run at all.
+    /// Checks whether the request may run.
+    ///
+    /// # Errors
+    ///
+    /// The answer to a request that is rejected as a crash suspect.
     pub(super) fn new(call: &'a Call, req: &'a Prepared) -> Result<Self, OwnAnswer> {
-        let trial = match crash::clearance(&call.plane, req.fingerprint) {
-            Clearance::Free => None,
-            Clearance::Alone(trial) => Some(trial),
-            Clearance::Refused(verdict) => return Err(refusal::suspect(verdict)),
+        let isolated_run = match crash::check_permission(&call.plane, req.fingerprint) {
+            RunPermission::Unrestricted => None,
+            RunPermission::Isolated(isolated_run) => Some(isolated_run),
+            RunPermission::Rejected(verdict) => return Err(error_answers::suspect(verdict)),
         };
         let attempts = Cell::new(AttemptCount::received(call.meta.attempts));
-        let (spreading, tried) = Default::default();
-        Ok(Self { call, req, attempts, spreading, trial, tried })
+        let (peer_notification, tried) = Default::default();
+        Ok(Self { call, req, attempts, peer_notification, isolated_run, tried })
     }
 
-    /// Waits until the peers have heard of a crash that the request was in. To be called before
-    /// the caller is told that it failed.
-    pub(super) async fn peers_told(&self) {
-        let spreading = self.spreading.borrow_mut().take();
-        if let Some(spreading) = spreading {
-            spreading.done().await;
+    /// Waits until the peers know of a crash that the request was involved in. Must be called
+    /// before the caller is answered that the request failed.
+    pub(super) async fn wait_for_peers(&self) {
+        let peer_notification = self.peer_notification.borrow_mut().take();
+        if let Some(peer_notification) = peer_notification {
+            peer_notification.wait().await;
         }
     }
 
-    /// Whether a further attempt is allowed after one that ended with `verdict`; if so it is
-    /// counted.
-    pub(super) fn may_go_on(&self, verdict: Verdict) -> bool {
+    /// Returns whether a retry is allowed after an attempt that ended with `verdict`; if so, the
+    /// retry is counted.
+    pub(super) fn try_retry(&self, verdict: Verdict) -> bool {
         let now = self.call.plane.now();
-        let kind = refusal::kind_of(self.call.meta.class.kind);
-        let left = self.call.meta.deadline - now;
-        let is_allowed = may_retry(kind, verdict, self.attempts.get().made(), left)
+        let kind = error_answers::kind_of(self.call.meta.class.kind);
+        let time_left = self.call.meta.deadline - now;
+        let is_allowed = may_retry(kind, verdict, self.attempts.get().made(), time_left)
             && self.call.service.state.borrow_mut().retries.try_retry(now);
         if is_allowed {
             self.count_attempt();
@@ -74,30 +78,30 @@
         is_allowed
     }
 
-    /// Counts a further attempt.
+    /// Counts one more attempt.
     fn count_attempt(&self) {
         let mut attempts = self.attempts.get();
         attempts.increment();
         self.attempts.set(attempts);
     }
 
-    /// How long to wait for an answer before a second copy goes out; `None` for never.
+    /// Returns how long to wait for an answer before a hedge is sent; `None` for no hedge.
     pub(super) fn hedge_delay(&self) -> Option<Duration> {
-        if self.trial.is_some() {
+        if self.isolated_run.is_some() {
             return None;
         }
-        let kind = refusal::kind_of(self.call.meta.class.kind);
+        let kind = error_answers::kind_of(self.call.meta.class.kind);
         self.call.service.state.borrow().hedges.delay(kind).map(Duration::from)
     }
 
-    /// Whether a second copy of an attempt that began at `started` may go out now; if so it is
-    /// counted.
-    pub(super) fn may_hedge(&self, started: Micros) -> bool {
+    /// Returns whether a hedge may be sent now for an attempt that began at `started`; if so, the
+    /// hedge is counted.
+    pub(super) fn try_hedge(&self, started: Micros) -> bool {
         let now = self.call.plane.now();
-        let kind = refusal::kind_of(self.call.meta.class.kind);
+        let kind = error_answers::kind_of(self.call.meta.class.kind);
         let mut state = self.call.service.state.borrow_mut();
         let State { hedges, retries, admission, .. } = &mut *state;
-        // Without room for it a copy would only take the place of a request that waits.
+        // Without free capacity, a hedge would take the place of a queued request.
         let is_allowed = self.attempts.get().made() < MAX_ATTEMPTS
             && admission.has_room()
             && hedges.try_hedge(now, started, self.call.meta.deadline, kind, retries);
@@ -109,57 +113,60 @@
         is_allowed
     }
 
-    /// Chooses the next backend server; one tried before only where no other is left.
+    /// Chooses the next backend server; one that was tried before only if there is no other.
     pub(super) fn choose(&self) -> Option<BackendHandle> {
         let now = self.call.plane.now();
         let exclude = self.tried.borrow().clone();
-        if self.trial.is_some() {
-            return self.choose_alone(exclude);
+        if self.isolated_run.is_some() {
+            return self.choose_isolated(exclude);
         }
         let mut state = self.call.service.state.borrow_mut();
         let balancer = &mut state.balancer;
         if exclude.is_empty()
             && balancer.free_slots(now) == 0
-            && let Some(slot) = balancer.choose_cross_domain(now)
+            && let Some(handle) = balancer.choose_cross_domain(now)
         {
-            return Some(slot);
+            return Some(handle);
         }
-        // A filing that fails cannot be sent again, so it is no trial for a server in doubt.
+        // A filing that fails cannot be retried, so it is not used as a trial of an ejected server.
         let is_filing = self.call.meta.class.kind == ClassKind::Filing;
-        let proven = if is_filing { balancer.choose_without_trial(now, &exclude) } else { None };
-        proven.or_else(|| balancer.choose(now, &exclude)).or_else(|| balancer.choose(now, &[]))
+        let without_trial =
+            if is_filing { balancer.choose_without_trial(now, &exclude) } else { None };
+        without_trial
+            .or_else(|| balancer.choose(now, &exclude))
+            .or_else(|| balancer.choose(now, &[]))
     }
 
-    /// Chooses a backend server on which nothing else runs.
-    fn choose_alone(&self, mut exclude: Vec<BackendHandle>) -> Option<BackendHandle> {
+    /// Chooses a backend server on which nothing else of this instance is running.
+    fn choose_isolated(&self, mut exclude: Vec<BackendHandle>) -> Option<BackendHandle> {
         let now = self.call.plane.now();
         loop {
-            let slot = self.call.service.state.borrow_mut().balancer.choose(now, &exclude)?;
-            if self.call.service.backend(slot).is_some_and(|b| b.running.is_empty()) {
-                return Some(slot);
+            let handle = self.call.service.state.borrow_mut().balancer.choose(now, &exclude)?;
+            if self.call.service.backend(handle).is_some_and(|b| b.running.is_empty()) {
+                return Some(handle);
             }
-            exclude.push(slot);
+            exclude.push(handle);
         }
     }
 
-    /// Tries the backend server in `slot`. `before_send` is asked right before the first byte may
-    /// leave; `false` withdraws the request.
+    /// Sends one attempt to the backend server `handle`. `before_send` is called immediately before
+    /// the first byte is sent; if it returns `false`, the request is withdrawn.
     pub(super) async fn attempt(
         &self,
         permit: &Permit,
-        slot: BackendHandle,
+        handle: BackendHandle,
         before_send: impl FnOnce() -> bool,
-    ) -> Result<Served, Fault> {
-        self.tried.borrow_mut().push(slot);
-        self.call.trace.borrow_mut().attempts = self.attempts.get().made();
-        let in_flight = InFlight::start(permit, slot);
-        let Some(backend) = self.call.service.backend(slot) else {
-            return Err(Fault::Connect(std::io::ErrorKind::NotFound.into()));
+    ) -> Result<Served, AttemptError> {
+        self.tried.borrow_mut().push(handle);
+        self.call.trace.borrow_mut().attempt_count = self.attempts.get().made();
+        let in_flight = InFlight::start(permit, handle);
+        let Some(backend) = self.call.service.backend(handle) else {
+            return Err(AttemptError::Connect(std::io::ErrorKind::NotFound.into()));
         };
         let target = Target {
             plane: &self.call.plane,
             service: &self.call.service,
-            slot,
+            handle,
             backend: &backend,
             deadline: self.call.meta.deadline,
         };
@@ -168,32 +175,33 @@
         match result {
             Ok(reply) => {
                 drop(running);
-                self.answered(&backend, &reply, in_flight.latency());
+                self.record_answer(&backend, &reply, in_flight.latency());
                 Ok(Served { backend: backend.id.clone(), in_flight, reply })
             }
-            Err(fault) => {
-                if fault.is_lost() {
-                    *self.spreading.borrow_mut() =
-                        Some(crash::note_loss(&self.call.plane, &backend));
+            Err(error) => {
+                if error.is_connection_lost() {
+                    *self.peer_notification.borrow_mut() =
+                        Some(crash::record_connection_loss(&self.call.plane, &backend));
                 }
                 drop(running);
-                self.call.trace.borrow_mut().failed(&backend.id, &fault);
-                in_flight.finish(fault.outcome());
-                Err(fault)
+                self.call.trace.borrow_mut().record_failure(&backend.id, &error);
+                in_flight.finish(error.outcome());
+                Err(error)
             }
         }
     }
 
-    fn answered(&self, backend: &Backend, reply: &Reply, latency: Micros) {
+    /// Records an answer and the attempts that it reports.
+    fn record_answer(&self, backend: &Backend, reply: &Reply, latency: Micros) {
         let fingerprint = self.req.fingerprint;
         self.call.plane.suspects.borrow_mut().answered(self.call.plane.now(), fingerprint);
-        self.call.trace.borrow_mut().answered(&backend.id, reply.status);
+        self.call.trace.borrow_mut().record_answer(&backend.id, reply.status);
         self.call.service.state.borrow_mut().hedges.observe(latency);
-        if let Some(count) = number(&reply.headers, ATTEMPT_HEADER) {
+        if let Some(count) = header_number(&reply.headers, ATTEMPT_HEADER) {
             let mut attempts = self.attempts.get();
             attempts.merge_reported(u32::try_from(count).unwrap_or(u32::MAX));
             self.attempts.set(attempts);
-            self.call.trace.borrow_mut().attempts = attempts.made();
+            self.call.trace.borrow_mut().attempt_count = attempts.made();
         }
     }
 }
--- a/crates/galenapath-entry/src/data/entries.rs
+++ b/crates/galenapath-entry/src/data/entries.rs
@@ -1,4 +1,4 @@
-//! The address answer: which instances a caller should use for a service.
+//! The address answer: the instances that a caller should use for a service.
 
 use super::answer::{OwnAnswer, send_whole};
 use super::caller::Caller;
@@ -12,11 +12,11 @@
 use http::{StatusCode, Uri};
 use serde::Serialize;
 
-/// Path of the address answer. It is taken only where no class covers it.
+/// Path of the address answer, unless a class covers that path.
 pub(super) const PATH: &str = "/v1/entries";
 
-/// How long callers keep an answer. Short enough that a new instance gets work within seconds,
-/// long enough that asking costs next to nothing.
+/// Time for which callers may use an answer. Short enough that a new instance gets requests within
+/// seconds, long enough that the load from address requests is negligible.
 const VALID_FOR: Micros = Micros::from_secs(5);
 
 /// An address that a caller may use.
@@ -25,8 +25,8 @@
     address: String,
     domain: String,
     instance: String,
-    /// What idempotency keys of filings sent to this address should begin with: the instance there
-    /// runs them itself, without a call on the platform.
+    /// Prefix for the idempotency keys of filings sent to this address. The instance runs filings
+    /// with this prefix itself, without a call to the platform's store.
     key_prefix: String,
 }
 
@@ -34,21 +34,21 @@
 #[derive(Serialize)]
 struct EntriesBody<'a> {
     service: &'a str,
-    /// Addresses in the order in which to try them.
+    /// Addresses, in the order in which callers should try them.
     entries: Vec<EntryBody>,
     valid_for_ms: u64,
     /// The key prefix of the first address.
     key_prefix: String,
 }
 
-/// The service that an address question names.
-pub(super) fn service_asked_for(uri: &Uri) -> Option<String> {
+/// Returns the service that an address request names.
+pub(super) fn requested_service(uri: &Uri) -> Option<String> {
     let query = uri.query()?;
     let value = query.split('&').find_map(|pair| pair.strip_prefix("service="))?;
     Some(value.to_owned())
 }
 
-/// Answers an address question.
+/// Answers an address request.
 pub(super) async fn answer(
     plane: &DataPlane,
     caller: &mut Caller,
@@ -78,12 +78,13 @@
 
 fn entries(plane: &DataPlane, service: &Service) -> Vec<EntryBody> {
     let own = plane.shared.incarnation;
-    let mut chosen = service.state.borrow().dispatching.chosen().to_vec();
-    // The asked instance comes first where it dispatches for the service, so that callers stay
-    // with it. The others are turned by its name, so that callers spread over them.
+    let mut chosen = service.state.borrow().dispatchers.chosen().to_vec();
+    // This instance comes first if it dispatches for the service, so that callers stay with it. The
+    // list is rotated by a hash of its incarnation and the service, so that callers spread over the
+    // other instances.
     if !chosen.is_empty() {
-        let turn = hash64(own.0, service.name.as_bytes()) as usize % chosen.len();
-        chosen.rotate_left(turn);
+        let offset = hash64(own.0, service.name.as_bytes()) as usize % chosen.len();
+        chosen.rotate_left(offset);
     }
     chosen.sort_by_key(|member| member.incarnation != own);
     let mut filings = plane.filings.borrow_mut();
--- a/crates/galenapath-entry/src/data/refusal.rs
+++ b/crates/galenapath-entry/src/data/error_answers.rs
@@ -1,7 +1,7 @@
 //! Answers for requests that no backend server answered.
 
 use super::answer::OwnAnswer;
-use super::attempt::Fault;
+use super::attempt::AttemptError;
 use galenapath_config::ClassKind;
 use galenapath_filings::SuspectVerdict;
 use galenapath_http::HttpError;
@@ -9,11 +9,11 @@
 use galenapath_protocol::{Micros, Verdict};
 use http::StatusCode;
 
-/// What callers are told to wait when no backend server can take the request and nothing better
-/// is known.
-const NO_BACKEND_RETRY: Micros = Micros::from_millis(500);
+/// Time after which callers may retry when no backend server can take the request and no better
+/// estimate is available.
+const NO_BACKEND_RETRY_AFTER: Micros = Micros::from_millis(500);
 
-/// The kind of a class, as the rules of retries name it.
+/// Returns the kind of request, as the retry rules use it, for a kind of class.
 pub(super) const fn kind_of(kind: ClassKind) -> RequestKind {
     match kind {
         ClassKind::Lookup => RequestKind::Lookup,
@@ -22,8 +22,8 @@
     }
 }
 
-/// The answer to a request that was not let in.
-pub(super) fn turn_away(rejection: &Rejection) -> OwnAnswer {
+/// Returns the answer to a request that admission rejected.
+pub(super) fn admission_rejected(rejection: &Rejection) -> OwnAnswer {
     let (status, reason, text) = match rejection.reason {
         RejectReason::QueueFull => {
             (StatusCode::SERVICE_UNAVAILABLE, "queue_full", "the service is overloaded")
@@ -45,56 +45,58 @@
             (StatusCode::SERVICE_UNAVAILABLE, "draining", "the instance is stopping; use another")
         }
     };
-    OwnAnswer::not_run(status, reason, text).retry_after(rejection.retry_after)
+    OwnAnswer::not_run(status, reason, text).with_retry_after(rejection.retry_after)
 }
 
-/// The answer when no backend server may be given the request; `ran` is the worst verdict of the
-/// attempts before.
+/// Returns the answer when no backend server can be chosen; `ran` is the combined verdict of the
+/// attempts so far.
 pub(super) fn no_backend(ran: Verdict) -> OwnAnswer {
     let answer = OwnAnswer::not_run(
         StatusCode::SERVICE_UNAVAILABLE,
         "no_backend",
         "no backend server of the service can take the request now",
     );
-    OwnAnswer { verdict: ran, ..answer }.retry_after(NO_BACKEND_RETRY)
+    OwnAnswer { verdict: ran, ..answer }.with_retry_after(NO_BACKEND_RETRY_AFTER)
 }
 
-/// The answer to a request that is suspected of crashing the backend servers that run it.
+/// Returns the answer to a request that is rejected as a crash suspect.
 pub(super) fn suspect(verdict: SuspectVerdict) -> OwnAnswer {
     let retry_after = match verdict {
         SuspectVerdict::Refuse { retry_after } => retry_after,
-        SuspectVerdict::Clear | SuspectVerdict::RunAlone => NO_BACKEND_RETRY,
+        SuspectVerdict::Clear | SuspectVerdict::RunAlone => NO_BACKEND_RETRY_AFTER,
     };
     OwnAnswer::not_run(
         StatusCode::SERVICE_UNAVAILABLE,
         "suspect",
         "backend servers crashed while they ran this request; it is held back for now",
     )
-    .retry_after(retry_after)
+    .with_retry_after(retry_after)
 }
 
-/// The answer when the last attempt gave none; `ran` is the worst verdict of those before it.
-pub(super) fn failed(fault: &Fault, ran: Verdict) -> OwnAnswer {
-    let (status, reason) = match fault {
-        Fault::TimedOut => (StatusCode::GATEWAY_TIMEOUT, "timed_out"),
-        Fault::Shed => (StatusCode::SERVICE_UNAVAILABLE, "backend_shed"),
-        Fault::Connect(_) | Fault::Withdrawn => {
+/// Returns the answer when the last attempt failed with `error`; `ran` is the combined verdict of
+/// the attempts before it.
+pub(super) fn failed(error: &AttemptError, ran: Verdict) -> OwnAnswer {
+    let (status, reason) = match error {
+        AttemptError::TimedOut => (StatusCode::GATEWAY_TIMEOUT, "timed_out"),
+        AttemptError::Shed => (StatusCode::SERVICE_UNAVAILABLE, "backend_shed"),
+        AttemptError::Connect(_) | AttemptError::Withdrawn => {
             (StatusCode::SERVICE_UNAVAILABLE, "backend_unreachable")
         }
-        Fault::Http(_) => (StatusCode::BAD_GATEWAY, "backend_failed"),
-        Fault::Caller(HttpError::Io(_)) => (StatusCode::REQUEST_TIMEOUT, "body_timeout"),
-        Fault::Caller(_) => (StatusCode::BAD_REQUEST, "bad_request"),
+        AttemptError::Http(_) => (StatusCode::BAD_GATEWAY, "backend_failed"),
+        AttemptError::Caller(HttpError::Io(_)) => (StatusCode::REQUEST_TIMEOUT, "body_timeout"),
+        AttemptError::Caller(_) => (StatusCode::BAD_REQUEST, "bad_request"),
     };
-    let text = fault.to_string();
-    let answer = match worst(ran, fault.verdict()) {
+    let text = error.to_string();
+    let answer = match worse(ran, error.verdict()) {
         Verdict::NotRun => OwnAnswer::not_run(status, reason, &text),
         Verdict::Answered | Verdict::MayHaveRun => OwnAnswer::may_have_run(status, reason, &text),
     };
-    answer.retry_after(NO_BACKEND_RETRY)
+    answer.with_retry_after(NO_BACKEND_RETRY_AFTER)
 }
 
-/// The verdict on a request after two attempts that gave no answer.
-pub(super) const fn worst(a: Verdict, b: Verdict) -> Verdict {
+/// Returns the combined verdict of two attempts that produced no answer: not run only if neither
+/// may have run.
+pub(super) const fn worse(a: Verdict, b: Verdict) -> Verdict {
     match (a, b) {
         (Verdict::NotRun, Verdict::NotRun) => Verdict::NotRun,
         _ => Verdict::MayHaveRun,
--- a/crates/galenapath-entry/src/data/explain.rs
+++ b/crates/galenapath-entry/src/data/explain.rs
@@ -8,60 +8,61 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Requests remembered. At about 200 bytes each they stay below one megabyte.
-const REMEMBERED: usize = 4_096;
+/// Number of requests in the history. At about 200 bytes each, they stay below 1 MB.
+const MAX_REMEMBERED: usize = 4_096;
 
-/// One attempt at a backend server, or one pass to another instance.
+/// One attempt at a backend server, or one forward to another instance.
 #[derive(Clone, Debug)]
-pub struct Tried {
-    /// Who was tried.
+pub struct AttemptRecord {
+    /// The backend server or instance.
     pub backend: BackendId,
     /// How the attempt ended.
-    pub end: TriedEnd,
+    pub end: AttemptResult,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
-pub enum TriedEnd {
-    /// With an answer.
+pub enum AttemptResult {
+    /// With an answer of this status.
     Status(StatusCode),
-    /// Without one; why.
-    Fault(String),
+    /// Without an answer, because of this error.
+    Error(String),
 }
 
-impl fmt::Display for TriedEnd {
+impl fmt::Display for AttemptResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Status(status) => status.fmt(f),
-            Self::Fault(why) => f.write_str(why),
+            Self::Error(text) => f.write_str(text),
         }
     }
 }
 
-/// What happened to one request and why. Kept for every request, so it shares what it can.
+/// The course of one request. One is kept for every recent request, so the class is shared to save
+/// memory.
 #[derive(Clone, Debug)]
 pub struct Explanation {
     id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: Arc<Class>,
-    /// Its workspace.
+    /// Workspace of the request.
     pub workspace: String,
-    /// Time that it waited for admission.
+    /// Time spent waiting for admission.
     pub waited: Micros,
-    /// Time from its head to its end.
+    /// Time from the arrival of the head to the end of the request.
     pub took: Micros,
-    /// Backend servers tried, in order.
-    pub tried: Vec<Tried>,
-    /// Status that the caller got; 0 where the caller had gone.
+    /// Attempts, in order.
+    pub attempts: Vec<AttemptRecord>,
+    /// Status of the answer to the caller; 0 if the caller had disconnected.
     pub status: u16,
-    /// Verdict that the caller got.
+    /// Verdict in the answer to the caller.
     pub verdict: Verdict,
-    /// Why it ended so.
+    /// Reason for the status and the verdict.
     pub reason: &'static str,
 }
 
 impl Explanation {
-    /// Identifier of the request.
+    /// Returns the identifier of the request.
     pub fn id(&self) -> String {
         self.id.to_string()
     }
@@ -74,48 +75,50 @@
 }
 
 impl History {
-    /// Remembers a request and forgets the oldest.
+    /// Adds a request; the oldest one is removed if the history is full.
     pub(super) fn push(&mut self, explanation: Explanation) {
-        if self.recent.len() >= REMEMBERED {
+        if self.recent.len() >= MAX_REMEMBERED {
             self.recent.pop_front();
         }
         self.recent.push_back(explanation);
     }
 
-    /// The explanation of a request, while it is remembered.
+    /// Returns the explanation of a request, if it is still in the history.
     pub fn find(&self, id: &str) -> Option<&Explanation> {
         let id = RequestId::parse(id)?;
         self.recent.iter().rev().find(|explanation| explanation.id == id)
     }
 }
 
-/// Collects what happens to one request.
+/// Collects the events of one request.
 pub(super) struct Trace {
     id: RequestId,
     pub(super) waited: Micros,
-    pub(super) tried: Vec<Tried>,
-    /// Attempts made over the whole chain of calls, as far as known here; zero before the first.
-    pub(super) attempts: u32,
+    pub(super) attempts: Vec<AttemptRecord>,
+    /// Number of attempts over the whole chain of calls, as far as known here; zero before the
+    /// first one.
+    pub(super) attempt_count: u32,
 }
 
 impl Trace {
     pub(super) const fn new(id: RequestId) -> Self {
-        Self { id, waited: Micros::ZERO, tried: Vec::new(), attempts: 0 }
+        Self { id, waited: Micros::ZERO, attempts: Vec::new(), attempt_count: 0 }
     }
 
-    /// An attempt that ended with an answer.
-    pub(super) fn answered(&mut self, backend: &BackendId, status: StatusCode) {
-        self.tried.push(Tried { backend: backend.clone(), end: TriedEnd::Status(status) });
+    /// Records an attempt that ended with an answer.
+    pub(super) fn record_answer(&mut self, backend: &BackendId, status: StatusCode) {
+        self.attempts
+            .push(AttemptRecord { backend: backend.clone(), end: AttemptResult::Status(status) });
     }
 
-    /// An attempt that ended without one.
-    pub(super) fn failed(&mut self, backend: &BackendId, fault: &impl ToString) {
-        let end = TriedEnd::Fault(fault.to_string());
-        self.tried.push(Tried { backend: backend.clone(), end });
+    /// Records an attempt that ended without an answer.
+    pub(super) fn record_failure(&mut self, backend: &BackendId, error: &impl ToString) {
+        let end = AttemptResult::Error(error.to_string());
+        self.attempts.push(AttemptRecord { backend: backend.clone(), end });
     }
 
-    /// The whole explanation.
-    pub(super) fn explain(
+    /// Returns the explanation of the ended request.
+    pub(super) fn into_explanation(
         self,
         meta: &RequestMeta,
         now: Micros,
@@ -129,7 +132,7 @@
             workspace: meta.workspace.clone(),
             waited: self.waited,
             took: now - meta.arrived,
-            tried: self.tried,
+            attempts: self.attempts,
             status,
             verdict,
             reason,
--- a/crates/galenapath-entry/src/data/filing.rs
+++ b/crates/galenapath-entry/src/data/filing.rs
@@ -1,16 +1,16 @@
-//! Filings: requests that run at most once.
+//! Serving filings: requests that run at most once.
 
 use super::answer::{OwnAnswer, send_whole};
-use super::attempt::{Fault, Reply, outcome_of};
+use super::attempt::{AttemptError, Reply, outcome_of};
 use super::call::Call;
 use super::caller::Caller;
 use super::dispatch::{Dispatch, Served};
 use super::permit::Permit;
 use super::plane::DataPlane;
 use super::prepare::Prepared;
-use super::relay::Told;
+use super::relay::AnswerMeta;
 use super::request::RequestMeta;
-use super::{filing_wait, forward, headers, refusal, relay};
+use super::{error_answers, filing_wait, forward, headers, relay};
 use bytes::Bytes;
 use galenapath_filings::{Admit, AfterAttempt, Answer, AttemptEnd, End, FilingKey, RecordId};
 use galenapath_http::{HttpError, RequestHead};
@@ -18,8 +18,8 @@
 use galenapath_protocol::{Micros, REQUEST_ID_HEADER, VERDICT_HEADER, Verdict};
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 
-/// When a caller whose filing may have run should ask again with the same key.
-const ASK_AGAIN: Micros = Micros::from_secs(2);
+/// Time after which a caller whose filing may have run should resend it with the same key.
+const RESEND_AFTER: Micros = Micros::from_secs(2);
 
 /// Serves a filing.
 pub(super) async fn serve(
@@ -28,27 +28,27 @@
     head: RequestHead,
     body: Bytes,
 ) -> Result<(), HttpError> {
-    let key = match key_of(&call.meta) {
+    let key = match parse_key(&call.meta) {
         Ok(key) => key,
-        Err(answer) => return call.refuse(caller, &answer).await,
+        Err(answer) => return call.end_with(caller, &answer).await,
     };
     let req = Prepared::new(&call.plane, &call.meta, head, body);
     let admit = filing_wait::admit(&call.plane, &call.meta, &key, &req).await;
-    count(&call.plane, &admit);
+    count_decision(&call.plane, &admit);
     match admit {
-        // Once dispatched, a filing runs to its end even when the caller goes away: its outcome is
-        // what a resend asks for.
+        // Once dispatched, a filing runs to its end even if the caller disconnects, because a
+        // resend with the same key is answered with its outcome.
         Admit::Run(id) => {
-            let ended = run(call, &req, id).await;
-            finish(call, caller, ended).await
+            let result = run(call, &req, id).await;
+            finish(call, caller, result).await
         }
         Admit::Replay(answer) => replay(call, caller, &answer).await,
         Admit::Forward(incarnation) => forward::serve(call, caller, &req, incarnation).await,
-        other => call.refuse(caller, &refusal_of(&other)).await,
+        other => call.end_with(caller, &answer_to(&other)).await,
     }
 }
 
-fn key_of(meta: &RequestMeta) -> Result<FilingKey, OwnAnswer> {
+fn parse_key(meta: &RequestMeta) -> Result<FilingKey, OwnAnswer> {
     let bad = |text: &str| OwnAnswer::not_run(StatusCode::BAD_REQUEST, "bad_key", text);
     let Some(text) = &meta.key else {
         return Err(bad(
@@ -59,7 +59,7 @@
     FilingKey::parse(&meta.workspace, text).map_err(|e| bad(&e.to_string()))
 }
 
-fn count(plane: &DataPlane, admit: &Admit) {
+fn count_decision(plane: &DataPlane, admit: &Admit) {
     let decision = match admit {
         Admit::Run(_) => "run",
         Admit::InProgress(_) => "in_progress",
@@ -78,10 +78,10 @@
     plane.shared.metrics.filing_records.set(records);
 }
 
-/// The answer to a filing that is not dispatched.
-fn refusal_of(admit: &Admit) -> OwnAnswer {
+/// Returns the answer to a filing that is not dispatched.
+fn answer_to(admit: &Admit) -> OwnAnswer {
     let may_have = |reason, text| {
-        OwnAnswer::may_have_run(StatusCode::CONFLICT, reason, text).retry_after(ASK_AGAIN)
+        OwnAnswer::may_have_run(StatusCode::CONFLICT, reason, text).with_retry_after(RESEND_AFTER)
     };
     match admit {
         Admit::Mismatch => OwnAnswer::not_run(
@@ -94,7 +94,7 @@
             "filings_full",
             "no new filings are taken now",
         )
-        .retry_after(*retry_after),
+        .with_retry_after(*retry_after),
         Admit::AnsweredNotKept { status } => OwnAnswer {
             verdict: Verdict::Answered,
             ..OwnAnswer::not_run(
@@ -110,7 +110,7 @@
             "unclaimed",
             "the key cannot be checked now; send the filing again with the same key",
         )
-        .retry_after(*retry_after),
+        .with_retry_after(*retry_after),
         Admit::InProgress(_) => may_have(
             "in_progress",
             "the filing is still running; send it again with the same key for its answer",
@@ -123,87 +123,92 @@
     }
 }
 
-/// How a filing that was admitted ended.
-enum Ended {
+/// The outcome of an admitted filing.
+enum RunOutcome {
     Answered { served: Box<Served>, permit: Permit },
     Unanswered(OwnAnswer),
 }
 
-async fn run(call: &Call, req: &Prepared, id: RecordId) -> Ended {
+async fn run(call: &Call, req: &Prepared, id: RecordId) -> RunOutcome {
     let open = OpenRecord { plane: &call.plane, id, is_resolved: false };
     let dispatch = match Dispatch::new(call, req) {
         Ok(dispatch) => dispatch,
-        Err(answer) => return Ended::Unanswered(open.not_run(answer)),
+        Err(answer) => return RunOutcome::Unanswered(open.not_run(answer)),
     };
     let permit = match Permit::acquire(call).await {
         Ok(permit) => permit,
         Err(rejection) => {
-            return Ended::Unanswered(open.not_run(refusal::turn_away(&rejection)));
+            return RunOutcome::Unanswered(
+                open.not_run(error_answers::admission_rejected(&rejection)),
+            );
         }
     };
     match try_until_final(&dispatch, &permit, id).await {
-        Tried::Answered(served) => {
+        TryOutcome::Answered(served) => {
             open.answered(&served.reply);
-            Ended::Answered { served, permit }
+            RunOutcome::Answered { served, permit }
         }
-        Tried::NotRun(fault) => {
-            let answer = match &fault {
-                Some(fault) => refusal::failed(fault, Verdict::NotRun),
-                None => refusal::no_backend(Verdict::NotRun),
+        TryOutcome::NotRun(error) => {
+            let answer = match &error {
+                Some(error) => error_answers::failed(error, Verdict::NotRun),
+                None => error_answers::no_backend(Verdict::NotRun),
             };
-            permit.finish(fault.map_or(Outcome::Shed, |fault| fault.outcome()));
-            Ended::Unanswered(open.not_run(answer))
+            permit.finish(error.map_or(Outcome::Shed, |error| error.outcome()));
+            RunOutcome::Unanswered(open.not_run(answer))
         }
-        Tried::MayHaveRun(fault) => {
-            permit.finish(fault.outcome());
-            dispatch.peers_told().await;
-            let answer = refusal::failed(&fault, Verdict::MayHaveRun).retry_after(ASK_AGAIN);
-            Ended::Unanswered(open.may_have_run(answer))
+        TryOutcome::MayHaveRun(error) => {
+            permit.finish(error.outcome());
+            dispatch.wait_for_peers().await;
+            let answer =
+                error_answers::failed(&error, Verdict::MayHaveRun).with_retry_after(RESEND_AFTER);
+            RunOutcome::Unanswered(open.may_have_run(answer))
         }
     }
 }
 
-enum Tried {
+/// The outcome of all attempts at a filing.
+enum TryOutcome {
     Answered(Box<Served>),
-    NotRun(Option<Fault>),
-    MayHaveRun(Fault),
+    NotRun(Option<AttemptError>),
+    MayHaveRun(AttemptError),
 }
 
-/// Tries backend servers for as long as the attempts before certainly did not run the filing.
-async fn try_until_final(dispatch: &Dispatch<'_>, permit: &Permit, id: RecordId) -> Tried {
+/// Tries backend servers until one answers, an attempt may have run the filing, or no retry is
+/// allowed.
+async fn try_until_final(dispatch: &Dispatch<'_>, permit: &Permit, id: RecordId) -> TryOutcome {
     let plane = &dispatch.call.plane;
     loop {
-        let Some(slot) = dispatch.choose() else { return Tried::NotRun(None) };
+        let Some(handle) = dispatch.choose() else { return TryOutcome::NotRun(None) };
         let mut was_sent = false;
         let before_send = || {
             was_sent = plane.filings.borrow_mut().sent(plane.now(), id).is_ok();
             was_sent
         };
-        let result = dispatch.attempt(permit, slot, before_send).await;
-        let fault = match result {
-            Ok(served) => return Tried::Answered(Box::new(served)),
-            Err(Fault::Withdrawn) => return Tried::MayHaveRun(Fault::Withdrawn),
-            Err(fault) => fault,
+        let result = dispatch.attempt(permit, handle, before_send).await;
+        let error = match result {
+            Ok(served) => return TryOutcome::Answered(Box::new(served)),
+            Err(AttemptError::Withdrawn) => return TryOutcome::MayHaveRun(AttemptError::Withdrawn),
+            Err(error) => error,
         };
-        let end = match &fault {
-            Fault::Shed => AttemptEnd::Refused,
+        let end = match &error {
+            AttemptError::Shed => AttemptEnd::Refused,
             _ if !was_sent => AttemptEnd::NothingSent,
             _ => AttemptEnd::Lost,
         };
         match plane.filings.borrow_mut().attempt_ended(plane.now(), id, end) {
             AfterAttempt::NotRun => {}
             AfterAttempt::MayHaveRun | AfterAttempt::Answered => {
-                return Tried::MayHaveRun(fault);
+                return TryOutcome::MayHaveRun(error);
             }
         }
-        if !dispatch.may_go_on(Verdict::NotRun) {
-            return Tried::NotRun(Some(fault));
+        if !dispatch.try_retry(Verdict::NotRun) {
+            return TryOutcome::NotRun(Some(error));
         }
     }
 }
 
-/// A record that has to be resolved. Dropping it unresolved says that it did not run, which the
-/// table takes back where bytes may have left.
+/// Guard of a filing's record, which must be resolved. Dropping it unresolved resolves it as not
+/// run; the table turns that into "may have run" if bytes may have been sent.
 struct OpenRecord<'a> {
     plane: &'a DataPlane,
     id: RecordId,
@@ -211,17 +216,20 @@
 }
 
 impl OpenRecord<'_> {
-    /// Resolves as not run and returns the answer with the verdict that may be told.
+    /// Resolves the record as not run. Returns the answer with the verdict that the table decided.
     fn not_run(mut self, answer: OwnAnswer) -> OwnAnswer {
         let verdict = self.resolve(End::NotRun);
         OwnAnswer { verdict, ..answer }
     }
 
+    /// Resolves the record as one that may have run. Returns the answer with the verdict that the
+    /// table decided.
     fn may_have_run(mut self, answer: OwnAnswer) -> OwnAnswer {
         let verdict = self.resolve(End::MayHaveRun);
         OwnAnswer { verdict, ..answer }
     }
 
+    /// Resolves the record with an answer, which the table may keep for resends.
     fn answered(mut self, reply: &Reply) {
         let mut headers = reply.headers.clone();
         headers::strip(&mut headers);
@@ -231,9 +239,10 @@
                 Some((name.as_str().to_owned(), value.to_str().ok()?.to_owned()))
             })
             .collect();
-        // An answer too large to be read first is too large to be kept: its length tells so.
+        // An answer that is too large to be buffered is too large to be kept. The table recognizes
+        // that by the length of this placeholder.
         let body = if reply.rest.is_some() {
-            Bytes::from(vec![0; super::attempt::BUFFERED_ANSWER])
+            Bytes::from(vec![0; super::attempt::BUFFERED_ANSWER_BYTES])
         } else {
             reply.start.clone()
         };
@@ -256,23 +265,24 @@
     }
 }
 
-async fn finish(call: &Call, caller: &mut Caller, ended: Ended) -> Result<(), HttpError> {
-    let (served, permit) = match ended {
-        Ended::Unanswered(answer) => return call.refuse(caller, &answer).await,
-        Ended::Answered { served, permit } => (*served, permit),
+/// Sends the answer to an admitted filing.
+async fn finish(call: &Call, caller: &mut Caller, result: RunOutcome) -> Result<(), HttpError> {
+    let (served, permit) = match result {
+        RunOutcome::Unanswered(answer) => return call.end_with(caller, &answer).await,
+        RunOutcome::Answered { served, permit } => (*served, permit),
     };
     call.observe_latency();
     let status = served.reply.status;
     let outcome = outcome_of(status);
-    let told = Told::answered(call, &served.backend);
-    let sent = relay::send(caller, &told, served.reply).await;
+    let answer_meta = AnswerMeta::answered(call, &served.backend);
+    let sent = relay::send(caller, &answer_meta, served.reply).await;
     served.in_flight.finish(outcome);
     permit.finish(outcome);
-    call.ended(status.as_u16(), Verdict::Answered, "answered");
+    call.record_end(status.as_u16(), Verdict::Answered, "answered");
     sent
 }
 
-/// Gives a resend the answer that the filing had.
+/// Answers a resend with the kept answer to the filing.
 async fn replay(call: &Call, caller: &mut Caller, answer: &Answer) -> Result<(), HttpError> {
     let mut head = HeaderMap::new();
     for (name, value) in &answer.headers {
@@ -285,6 +295,6 @@
     headers::set(&mut head, VERDICT_HEADER, Verdict::Answered.as_str());
     headers::set(&mut head, REQUEST_ID_HEADER, &call.meta.id.to_string());
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
-    call.ended(answer.status, Verdict::Answered, "replayed");
+    call.record_end(answer.status, Verdict::Answered, "replayed");
     send_whole(caller, status, head, &answer.body).await
 }
--- a/crates/galenapath-entry/src/data/filing_wait.rs
+++ b/crates/galenapath-entry/src/data/filing_wait.rs
@@ -1,5 +1,5 @@
-//! Admission of a filing's key, with the waits that it may need: for the same filing that is
-//! already running, and for the store when the caller chose the key.
+//! Admission of a filing by its key. It may have to wait for the same filing to end if that is
+//! already running, and for the store if the caller chose the key.
 
 use super::plane::DataPlane;
 use super::prepare::Prepared;
@@ -9,13 +9,14 @@
 use galenapath_filings::{Admit, ClaimId, ClaimResult, FilingKey, RecordId};
 use std::time::Duration;
 
-/// Longest wait of a resend for the filing that is running.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+/// Maximum wait of a resend for the running filing.
+const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// Most resends that wait for one filing; further ones are told to come back.
-const MOST_WAITERS: usize = 8;
+/// Maximum number of resends that wait for one filing; further ones are answered immediately that
+/// it is in progress.
+const MAX_WAITERS: usize = 8;
 
-/// Admits a filing.
+/// Decides whether and how a filing runs, after the waits that this needs.
 pub(super) async fn admit(
     plane: &DataPlane,
     meta: &RequestMeta,
@@ -23,7 +24,7 @@
     req: &Prepared,
 ) -> Admit {
     let mut admit = plane.filings.borrow_mut().admit(plane.now(), key, req.fingerprint);
-    // One wait for a running filing, one claim, and the look after each.
+    // One wait for a running filing and one claim, each followed by another decision.
     for _ in 0..3 {
         admit = match admit {
             Admit::InProgress(id) => {
@@ -33,7 +34,7 @@
                 plane.filings.borrow_mut().admit(plane.now(), key, req.fingerprint)
             }
             Admit::Claim(claim) => {
-                let result = ask_store(plane, key, claim).await;
+                let result = claim_in_store(plane, key, claim).await;
                 plane.filings.borrow_mut().claim_result(plane.now(), claim, result)
             }
             other => return other,
@@ -42,33 +43,34 @@
     admit
 }
 
-/// Waits for the end of a running filing; `false` where that takes too long.
+/// Waits for the end of a running filing; returns `false` if it does not end in time or too many
+/// resends are waiting.
 async fn wait(plane: &DataPlane, meta: &RequestMeta, id: RecordId) -> bool {
     let (tx, rx) = oneshot::channel();
     {
         let mut waiters = plane.filing_waiters.borrow_mut();
         let waiting = waiters.entry(id).or_default();
         waiting.retain(|tx| !tx.is_canceled());
-        if waiting.len() >= MOST_WAITERS {
+        if waiting.len() >= MAX_WAITERS {
             return false;
         }
         waiting.push(tx);
     }
-    let left = Duration::from(meta.deadline - plane.now()).min(LONGEST_WAIT);
-    matches!(monoio::time::timeout(left, rx).await, Ok(Ok(())))
+    let timeout = Duration::from(meta.deadline - plane.now()).min(MAX_WAIT);
+    matches!(monoio::time::timeout(timeout, rx).await, Ok(Ok(())))
 }
 
-/// Wakes those who wait for a filing that has ended.
+/// Wakes the resends that wait for a filing that has ended.
 pub(super) fn wake(plane: &DataPlane, id: RecordId) {
     let waiting = plane.filing_waiters.borrow_mut().remove(&id).unwrap_or_default();
     for tx in waiting {
-        // A waiter that gave up needs no word.
+        // Fails only if the resend has stopped waiting.
         let _ = tx.send(());
     }
 }
 
-/// Has the control thread write a claim to the store.
-async fn ask_store(plane: &DataPlane, key: &FilingKey, claim: ClaimId) -> ClaimResult {
+/// Requests the control thread to write a claim to the store, and waits for the result.
+async fn claim_in_store(plane: &DataPlane, key: &FilingKey, claim: ClaimId) -> ClaimResult {
     let (reply, rx) = flume::bounded(1);
     let request = ClaimRequest {
         path: key.claim_path(),
@@ -80,6 +82,6 @@
     if plane.events.try_send(ControlEvent::Claim(request)).is_err() {
         return ClaimResult::StoreDown;
     }
-    // The control thread may have started the write when it fails to reply.
+    // If the control thread does not reply, it may still have started the write.
     rx.recv_async().await.unwrap_or(ClaimResult::Unknown)
 }
--- a/crates/galenapath-entry/src/data/forward.rs
+++ b/crates/galenapath-entry/src/data/forward.rs
@@ -1,18 +1,19 @@
-//! Passing a filing to the instance that may dispatch it.
+//! Forwarding of a filing to the instance that may run it.
 //!
-//! Only the incarnation that a key names runs it. Any other instance passes the filing on; where
-//! that incarnation is gone, its successors are asked for the outcome, which they took over at a
-//! planned stop. A filing is passed on once: the instance that gets it answers what it knows.
+//! Only the incarnation that a key names runs the filing; any other instance forwards it there. If
+//! that incarnation has ended, the filing is forwarded to its successors, which received its
+//! outcomes at a planned stop. A filing is forwarded at most once: an instance that receives a
+//! forwarded filing answers from what it knows.
 
 use super::answer::OwnAnswer;
 use super::attempt::read_final_head;
-use super::attempt::{BUFFERED_ANSWER, Reply};
+use super::attempt::{BUFFERED_ANSWER_BYTES, Reply};
 use super::call::Call;
 use super::caller::Caller;
 use super::plane::DataPlane;
 use super::prepare::Prepared;
-use super::relay::Told;
-use super::request::{RequestMeta, number, text};
+use super::relay::AnswerMeta;
+use super::request::{RequestMeta, header_number, header_text};
 use super::{headers, relay};
 use bytes::BytesMut;
 use galenapath_filings::successors;
@@ -26,19 +27,23 @@
 use monoio::net::TcpStream;
 use std::time::Duration;
 
-/// Successors that are asked for an outcome; as many as get it at a planned stop.
-pub const SUCCESSORS: usize = 2;
+/// Number of successors that are asked for an outcome. At a planned stop, outcomes are handed over
+/// to the same number of successors.
+pub const SUCCESSOR_COUNT: usize = 2;
 
-/// Longest time to connect to another instance.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+/// Maximum time to connect to another instance.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Largest head of another instance's answer, in bytes.
-const HEAD_LIMIT: usize = 64 * 1024;
+/// Maximum size of the head of another instance's answer.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// When a caller whose filing may have run should ask again with the same key.
-const ASK_AGAIN: Micros = Micros::from_secs(2);
+/// Time after which a caller whose filing may have run should resend it with the same key.
+const RESEND_AFTER: Micros = Micros::from_secs(2);
 
-/// Passes a filing on and its answer back.
+/// Maximum size of the answer to a forwarded filing.
+const MAX_FORWARDED_BYTES: usize = 16 * BUFFERED_ANSWER_BYTES;
+
+/// Forwards a filing and relays the answer.
 pub(super) async fn serve(
     call: &Call,
     caller: &mut Caller,
@@ -49,17 +54,17 @@
     let holders = if meta.hops == 0 { holders(plane, incarnation) } else { Vec::new() };
     for member in holders {
         let name = BackendId(format!("instance {}", member.id).into());
-        match pass_on(plane, meta, req, &member).await {
+        match forward(plane, meta, req, &member).await {
             Ok(reply) => {
-                trace.borrow_mut().answered(&name, reply.status);
+                trace.borrow_mut().record_answer(&name, reply.status);
                 let (status, verdict) = (reply.status, verdict_of(&reply));
-                call.ended(status.as_u16(), verdict, "passed on");
-                let attempts = number(&reply.headers, ATTEMPT_HEADER).unwrap_or(1);
+                call.record_end(status.as_u16(), verdict, "passed on");
+                let attempts = header_number(&reply.headers, ATTEMPT_HEADER).unwrap_or(1);
                 let attempts = u32::try_from(attempts).unwrap_or(u32::MAX);
-                let told = Told { id: meta.id, backend: &name, verdict, attempts };
-                return relay::send(caller, &told, reply).await;
+                let answer_meta = AnswerMeta { id: meta.id, backend: &name, verdict, attempts };
+                return relay::send(caller, &answer_meta, reply).await;
             }
-            Err(e) => trace.borrow_mut().failed(&name, &e),
+            Err(e) => trace.borrow_mut().record_failure(&name, &e),
         }
     }
     let answer = OwnAnswer::may_have_run(
@@ -67,17 +72,17 @@
         "owner_gone",
         "the instance that may run this key cannot be reached; the filing may have run",
     );
-    call.refuse(caller, &answer.retry_after(ASK_AGAIN)).await
+    call.end_with(caller, &answer.with_retry_after(RESEND_AFTER)).await
 }
 
-/// The instances to ask: the incarnation itself, or its successors where it is gone.
+/// Returns the instances to forward to: the incarnation itself, or its successors if it has ended.
 fn holders(plane: &DataPlane, incarnation: Incarnation) -> Vec<Member> {
     let view = plane.shared.members.load();
     if let Some(member) = view.reachable(incarnation) {
         return vec![member.clone()];
     }
     let usable: Vec<Incarnation> = view.usable.iter().map(|m| m.incarnation).collect();
-    successors(incarnation, &usable, SUCCESSORS)
+    successors(incarnation, &usable, SUCCESSOR_COUNT)
         .into_iter()
         .filter(|successor| *successor != plane.shared.incarnation)
         .filter_map(|successor| view.reachable(successor).cloned())
@@ -85,14 +90,14 @@
 }
 
 fn verdict_of(reply: &Reply) -> Verdict {
-    match text(&reply.headers, VERDICT_HEADER) {
+    match header_text(&reply.headers, VERDICT_HEADER) {
         Some("answered") => Verdict::Answered,
         Some("not-run") => Verdict::NotRun,
         _ => Verdict::MayHaveRun,
     }
 }
 
-async fn pass_on(
+async fn forward(
     plane: &DataPlane,
     meta: &RequestMeta,
     req: &Prepared,
@@ -100,11 +105,11 @@
 ) -> Result<Reply, HttpError> {
     let timed_out = |_| HttpError::Io(std::io::ErrorKind::TimedOut.into());
     let connect = TcpStream::connect(member.callers);
-    let io = monoio::time::timeout(CONNECT_LIMIT, connect).await.map_err(timed_out)??;
-    let mut connection = Connection::new(io, HEAD_LIMIT);
-    let left = Duration::from(meta.deadline - plane.now());
+    let io = monoio::time::timeout(CONNECT_TIMEOUT, connect).await.map_err(timed_out)??;
+    let mut connection = Connection::new(io, MAX_HEAD_BYTES);
+    let timeout = Duration::from(meta.deadline - plane.now());
     let exchange = exchange(&mut connection, plane, meta, req);
-    monoio::time::timeout(left, exchange).await.map_err(timed_out)?
+    monoio::time::timeout(timeout, exchange).await.map_err(timed_out)?
 }
 
 async fn exchange(
@@ -130,7 +135,7 @@
     let mut start = BytesMut::new();
     while let Some(piece) = connection.read_body(&mut state).await? {
         start.extend_from_slice(&piece);
-        if start.len() > MOST_PASSED {
+        if start.len() > MAX_FORWARDED_BYTES {
             return Err(HttpError::BadFraming("the answer is too large to be passed on"));
         }
     }
@@ -142,6 +147,3 @@
         rest: None,
     })
 }
-
-/// Largest answer that is passed on between instances, in bytes.
-const MOST_PASSED: usize = 16 * BUFFERED_ANSWER;
--- a/crates/galenapath-entry/src/data/headers.rs
+++ b/crates/galenapath-entry/src/data/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers pass from one side to the other.
+//! Headers that are removed, added or set between callers and backend servers.
 
 use super::request::RequestId;
 use galenapath_http::strip_hop_by_hop;
@@ -8,8 +8,8 @@
 };
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 
-/// Headers that only galenapath itself may set; what a caller or a backend server sends under
-/// these names is dropped.
+/// Headers that only galenapath itself may set. They are removed from what a caller or a backend
+/// server sends.
 const INTERNAL: [&str; 7] = [
     ATTEMPT_HEADER,
     VERDICT_HEADER,
@@ -20,7 +20,7 @@
     HOPS_HEADER,
 ];
 
-/// Removes headers that must not pass to the other side.
+/// Removes headers that must not be passed on.
 pub(super) fn strip(headers: &mut HeaderMap) {
     strip_hop_by_hop(headers);
     for name in INTERNAL {
@@ -28,18 +28,18 @@
     }
 }
 
-/// Adds what a backend server gets to know about a request.
-pub(super) fn add_request(headers: &mut HeaderMap, id: RequestId, left: Micros) {
+/// Adds the headers that tell a backend server about a request.
+pub(super) fn add_request(headers: &mut HeaderMap, id: RequestId, time_left: Micros) {
     set(headers, REQUEST_ID_HEADER, &id.to_string());
-    set_deadline(headers, left);
+    set_deadline(headers, time_left);
 }
 
-/// Sets the time left.
-pub(super) fn set_deadline(headers: &mut HeaderMap, left: Micros) {
-    set(headers, DEADLINE_HEADER, &(left.0 / 1_000).to_string());
+/// Sets the remaining time until the deadline.
+pub(super) fn set_deadline(headers: &mut HeaderMap, time_left: Micros) {
+    set(headers, DEADLINE_HEADER, &(time_left.0 / 1_000).to_string());
 }
 
-/// Sets a header to a text that is known to be valid in a header.
+/// Sets a header. A value that is not valid in a header is ignored.
 pub(super) fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(HeaderName::from_static(name), value);
--- a/crates/galenapath-entry/src/data/lookup.rs
+++ b/crates/galenapath-entry/src/data/lookup.rs
@@ -1,14 +1,14 @@
-//! Requests that may run more than once: lookups and transfers whose request body is at hand.
+//! Serving idempotent requests: lookups, and transfers whose request body is buffered.
 
 use super::answer::OwnAnswer;
-use super::attempt::{Fault, outcome_of};
+use super::attempt::{AttemptError, outcome_of};
 use super::call::Call;
 use super::caller::Caller;
 use super::dispatch::{Dispatch, Served};
 use super::permit::Permit;
 use super::prepare::Prepared;
-use super::relay::Told;
-use super::{refusal, relay};
+use super::relay::AnswerMeta;
+use super::{error_answers, relay};
 use bytes::Bytes;
 use futures::future::{Either, select};
 use galenapath_http::{HttpError, RequestHead};
@@ -16,7 +16,7 @@
 use galenapath_protocol::Verdict;
 use std::pin::pin;
 
-/// Serves a request that may run more than once.
+/// Serves an idempotent request.
 pub(super) async fn serve(
     call: &Call,
     caller: &mut Caller,
@@ -26,8 +26,8 @@
     let req = Prepared::new(&call.plane, &call.meta, head, body);
     let result = {
         let work = pin!(run(call, &req));
-        let gone = pin!(caller.connection.closed());
-        match select(work, gone).await {
+        let caller_closed = pin!(caller.connection.closed());
+        match select(work, caller_closed).await {
             Either::Left((result, _)) => Some(result),
             Either::Right(_) => None,
         }
@@ -35,11 +35,11 @@
     match result {
         None => {
             call.plane.shared.metrics.fault("caller_gone");
-            call.ended(0, Verdict::MayHaveRun, "the caller went away");
+            call.record_end(0, Verdict::MayHaveRun, "the caller went away");
             Err(HttpError::Truncated)
         }
         Some(Ok((permit, served))) => relay(call, caller, permit, served).await,
-        Some(Err(answer)) => call.refuse(caller, &answer).await,
+        Some(Err(answer)) => call.end_with(caller, &answer).await,
     }
 }
 
@@ -52,8 +52,8 @@
     call.observe_latency();
     let status = served.reply.status;
     let outcome = outcome_of(status);
-    let told = Told::answered(call, &served.backend);
-    // A whole answer frees the backend server now; a large one when its last byte has come.
+    let answer_meta = AnswerMeta::answered(call, &served.backend);
+    // A buffered answer releases the backend server now, a large one after its last byte.
     let held = if served.reply.rest.is_none() {
         served.in_flight.finish(outcome);
         permit.finish(outcome);
@@ -61,26 +61,28 @@
     } else {
         Some((served.in_flight, permit))
     };
-    let sent = relay::send(caller, &told, served.reply).await;
+    let sent = relay::send(caller, &answer_meta, served.reply).await;
     if let Some((in_flight, permit)) = held {
         let outcome = if sent.is_ok() { outcome } else { Outcome::Cancelled };
         in_flight.finish(outcome);
         permit.finish(outcome);
     }
     let reason = if sent.is_ok() { "answered" } else { "the answer broke off" };
-    call.ended(status.as_u16(), Verdict::Answered, reason);
+    call.record_end(status.as_u16(), Verdict::Answered, reason);
     sent
 }
 
-/// Lets the request in and tries backend servers until one answers or the rules end it.
+/// Waits for admission and tries backend servers until one answers or no retry is allowed.
 async fn run(call: &Call, req: &Prepared) -> Result<(Permit, Served), OwnAnswer> {
     let dispatch = Dispatch::new(call, req)?;
-    let permit = Permit::acquire(call).await.map_err(|rejection| refusal::turn_away(&rejection))?;
+    let permit = Permit::acquire(call)
+        .await
+        .map_err(|rejection| error_answers::admission_rejected(&rejection))?;
     match try_until_answered(&dispatch, &permit).await {
         Ok(served) => Ok((permit, served)),
         Err(failure) => {
             permit.finish(failure.outcome);
-            dispatch.peers_told().await;
+            dispatch.wait_for_peers().await;
             Err(failure.answer)
         }
     }
@@ -98,50 +100,53 @@
 ) -> Result<Served, Unanswered> {
     let mut ran = Verdict::NotRun;
     loop {
-        let Some(slot) = dispatch.choose() else {
-            return Err(Unanswered { answer: refusal::no_backend(ran), outcome: Outcome::Shed });
+        let Some(handle) = dispatch.choose() else {
+            return Err(Unanswered {
+                answer: error_answers::no_backend(ran),
+                outcome: Outcome::Shed,
+            });
         };
-        match try_hedged(dispatch, permit, slot).await {
+        match try_hedged(dispatch, permit, handle).await {
             Ok(served) => {
-                // A server that fails fast is tried past, but its answer is an answer.
+                // A server error is retried, but is relayed if no retry is allowed.
                 let is_final = !served.reply.status.is_server_error()
                     || served.reply.rest.is_some()
-                    || !dispatch.may_go_on(Verdict::MayHaveRun);
+                    || !dispatch.try_retry(Verdict::MayHaveRun);
                 if is_final {
                     return Ok(served);
                 }
                 served.in_flight.finish(Outcome::FastFailure);
                 ran = Verdict::MayHaveRun;
             }
-            Err(fault) => {
-                if !dispatch.may_go_on(fault.verdict()) {
-                    let answer = refusal::failed(&fault, ran);
-                    return Err(Unanswered { answer, outcome: fault.outcome() });
+            Err(error) => {
+                if !dispatch.try_retry(error.verdict()) {
+                    let answer = error_answers::failed(&error, ran);
+                    return Err(Unanswered { answer, outcome: error.outcome() });
                 }
-                ran = refusal::worst(ran, fault.verdict());
+                ran = error_answers::worse(ran, error.verdict());
             }
         }
     }
 }
 
-/// Tries the backend server in `slot`, and a second one when the first is slower than most: the
-/// first answer wins and the other attempt is cancelled, which closes its connection.
+/// Tries the backend server `handle`, and hedges with a second one if the first is slower than
+/// most. The first answer is returned; the other attempt is cancelled, which closes its connection.
 async fn try_hedged(
     dispatch: &Dispatch<'_>,
     permit: &Permit,
-    slot: BackendHandle,
-) -> Result<Served, Fault> {
+    handle: BackendHandle,
+) -> Result<Served, AttemptError> {
     let started = dispatch.call.plane.now();
-    let first = pin!(dispatch.attempt(permit, slot, || true));
+    let first = pin!(dispatch.attempt(permit, handle, || true));
     let Some(delay) = dispatch.hedge_delay() else { return first.await };
     let first = match select(first, pin!(monoio::time::sleep(delay))).await {
         Either::Left((result, _)) => return result,
         Either::Right(((), first)) => first,
     };
-    if !dispatch.may_hedge(started) {
+    if !dispatch.try_hedge(started) {
         return first.await;
     }
-    let Some(other) = dispatch.choose().filter(|other| *other != slot) else {
+    let Some(other) = dispatch.choose().filter(|other| *other != handle) else {
         return first.await;
     };
     let second = pin!(dispatch.attempt(permit, other, || true));
--- a/crates/galenapath-entry/src/data/mod.rs
+++ b/crates/galenapath-entry/src/data/mod.rs
@@ -1,4 +1,5 @@
-//! The data path: callers' connections in, backend servers out, on one thread.
+//! The data path, on one thread: it accepts callers' connections and sends their requests to
+//! backend servers.
 
 mod answer;
 mod attempt;
@@ -8,8 +9,9 @@
 mod commands;
 mod crash;
 mod dispatch;
-mod dispatching;
+mod dispatchers;
 mod entries;
+mod error_answers;
 mod explain;
 mod filing;
 mod filing_wait;
@@ -17,20 +19,19 @@
 mod headers;
 mod listener;
 mod lookup;
-mod pace;
 mod permit;
 mod plane;
 mod pool;
 mod prepare;
 mod probes;
-mod refusal;
 mod relay;
 mod request;
 mod service;
 mod stream;
+mod throttle;
 
 pub use commands::DataCommand;
 pub use explain::Explanation;
-pub use forward::SUCCESSORS;
+pub use forward::SUCCESSOR_COUNT;
 pub use listener::serve;
 pub use plane::DataPlane;
--- a/crates/galenapath-entry/src/data/permit.rs
+++ b/crates/galenapath-entry/src/data/permit.rs
@@ -1,4 +1,4 @@
-//! Admission of one request, and the guards that release what it holds.
+//! Admission of a request, and guards that release its place and its attempts.
 
 use super::call::Call;
 use super::plane::DataPlane;
@@ -15,31 +15,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest sleep of a waiting request between two looks at admission.
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
+/// Maximum time between two polls of admission by a queued request.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// A request that was let in. Dropping it counts as cancelled.
+/// Guard of an admitted request. Dropping it counts the request as cancelled.
 pub(super) struct Permit {
     plane: Rc<DataPlane>,
     service: Rc<Service>,
     ticket: Ticket,
     started: Micros,
-    /// Whether an attempt has begun; until then the request counts as unsent.
+    /// Whether an attempt has begun; until then, the request is counted as unsent.
     is_sent: Cell<bool>,
     is_done: bool,
 }
 
 impl Permit {
-    /// Waits until the request is let in or turned away.
+    /// Waits until the request is admitted.
+    ///
+    /// # Errors
+    ///
+    /// If the request is rejected.
     pub(super) async fn acquire(call: &Call) -> Result<Self, Rejection> {
         let Call { plane, service, meta, trace } = call;
         let arrived = plane.now();
         let ticket = meta.number;
         match offer(service, arrived, meta) {
-            Offered::Start => {}
-            Offered::Reject(rejection) => return Err(rejection),
-            Offered::Wait(rx) => {
-                let waiting = Waiting { plane, service, ticket, rx, is_over: false };
+            OfferOutcome::Start => {}
+            OfferOutcome::Reject(rejection) => return Err(rejection),
+            OfferOutcome::Wait(rx) => {
+                let waiting = Waiting { plane, service, ticket, rx, has_ended: false };
                 waiting.wait().await?;
             }
         }
@@ -64,7 +68,7 @@
         }
     }
 
-    /// The request has ended.
+    /// Releases the request's place in admission with its outcome.
     pub(super) fn finish(mut self, outcome: Outcome) {
         self.release(outcome);
     }
@@ -87,13 +91,14 @@
     }
 }
 
-enum Offered {
+/// What admission decided when the request was offered.
+enum OfferOutcome {
     Start,
     Wait(oneshot::Receiver<QueuedDecision>),
     Reject(Rejection),
 }
 
-fn offer(service: &Service, now: Micros, meta: &RequestMeta) -> Offered {
+fn offer(service: &Service, now: Micros, meta: &RequestMeta) -> OfferOutcome {
     service.poll(now);
     let class = service.class_index(&meta.class.name);
     let mut state = service.state.borrow_mut();
@@ -102,64 +107,64 @@
     match state.admission.offer(now, offer) {
         Decision::Start => {
             state.unsent += 1;
-            Offered::Start
+            OfferOutcome::Start
         }
-        Decision::Reject(rejection) => Offered::Reject(rejection),
+        Decision::Reject(rejection) => OfferOutcome::Reject(rejection),
         Decision::Wait => {
             let (tx, rx) = oneshot::channel();
             state.waiters.insert(meta.number, tx);
             drop(state);
-            // Room may have been made for it at the cost of others.
+            // Admission may have rejected other queued requests to make room for this one.
             service.poll(now);
-            Offered::Wait(rx)
+            OfferOutcome::Wait(rx)
         }
     }
 }
 
-/// A request in the queue. Dropping it takes it out, also where it was let in and nobody has taken
-/// note of that yet.
+/// Guard of a queued request. Dropping it removes the request from the queue, or cancels it if it
+/// was admitted but the decision has not been received yet.
 struct Waiting<'a> {
     plane: &'a Rc<DataPlane>,
     service: &'a Rc<Service>,
     ticket: Ticket,
     rx: oneshot::Receiver<QueuedDecision>,
-    /// Whether the wait has ended and its end was taken note of.
-    is_over: bool,
+    /// Whether the decision has been received.
+    has_ended: bool,
 }
 
 impl Waiting<'_> {
     async fn wait(mut self) -> Result<(), Rejection> {
-        let step = loop {
-            let sleep = pin!(monoio::time::sleep(self.until_wake()));
+        let decision = loop {
+            let sleep = pin!(monoio::time::sleep(self.time_until_wake()));
             match select(&mut self.rx, sleep).await {
-                Either::Left((step, _)) => break step.ok(),
+                Either::Left((decision, _)) => break decision.ok(),
                 Either::Right(_) => self.service.poll(self.plane.now()),
             }
         };
-        self.end(step)
+        self.record_end(decision)
     }
 
-    /// Takes note of the end of the wait.
-    fn end(&mut self, step: Option<QueuedDecision>) -> Result<(), Rejection> {
-        self.is_over = true;
-        match step {
+    /// Records the end of the wait.
+    fn record_end(&mut self, decision: Option<QueuedDecision>) -> Result<(), Rejection> {
+        self.has_ended = true;
+        match decision {
             Some(QueuedDecision::Reject(_, rejection)) => Err(rejection),
-            // The sender lives in the service until it has sent.
+            // `None` cannot occur: the service keeps the sender until it has sent the decision.
             Some(QueuedDecision::Start(_)) | None => Ok(()),
         }
     }
 
-    fn until_wake(&self) -> Duration {
+    fn time_until_wake(&self) -> Duration {
         let wake = self.service.state.borrow().admission.next_wake();
-        let left = wake.map_or(LONGEST_SLEEP, |at| (at - self.plane.now()).into());
-        // A wake that is due already must not keep the thread from other work.
-        left.clamp(Duration::from_millis(1), LONGEST_SLEEP)
+        let time_left = wake.map_or(MAX_SLEEP, |at| (at - self.plane.now()).into());
+        // At least 1 ms, so that a wake-up that is already due does not block other tasks.
+        time_left.clamp(Duration::from_millis(1), MAX_SLEEP)
     }
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        if self.is_over {
+        if self.has_ended {
             return;
         }
         let now = self.plane.now();
@@ -175,32 +180,39 @@
     }
 }
 
-/// An attempt that is counted as in flight at a backend server. Dropping it counts as cancelled.
+/// Guard of an attempt that is in flight at a backend server. Dropping it counts the attempt as
+/// cancelled.
 pub(super) struct InFlight {
     plane: Rc<DataPlane>,
     service: Rc<Service>,
     /// The backend server.
-    pub(super) slot: BackendHandle,
+    pub(super) handle: BackendHandle,
     started: Micros,
     is_done: bool,
 }
 
 impl InFlight {
-    /// Counts an attempt of an admitted request at `slot`.
-    pub(super) fn start(permit: &Permit, slot: BackendHandle) -> Self {
+    /// Counts an attempt of an admitted request at the backend server `handle`.
+    pub(super) fn start(permit: &Permit, handle: BackendHandle) -> Self {
         permit.mark_sent();
         let (plane, service) = (&permit.plane, &permit.service);
         let started = plane.now();
-        service.state.borrow_mut().balancer.start(started, slot);
-        Self { plane: Rc::clone(plane), service: Rc::clone(service), slot, started, is_done: false }
+        service.state.borrow_mut().balancer.start(started, handle);
+        Self {
+            plane: Rc::clone(plane),
+            service: Rc::clone(service),
+            handle,
+            started,
+            is_done: false,
+        }
     }
 
-    /// Time since the attempt began.
+    /// Returns the time since the attempt began.
     pub(super) fn latency(&self) -> Micros {
         self.plane.now() - self.started
     }
 
-    /// The attempt has ended.
+    /// Ends the attempt with its outcome.
     pub(super) fn finish(mut self, outcome: Outcome) {
         self.release(outcome);
     }
@@ -211,7 +223,7 @@
         }
         let now = self.plane.now();
         let latency = now - self.started;
-        self.service.state.borrow_mut().balancer.finish(now, self.slot, outcome, latency);
+        self.service.state.borrow_mut().balancer.finish(now, self.handle, outcome, latency);
         let label = match outcome {
             Outcome::Answered => "answered",
             Outcome::Shed => "shed",
--- a/crates/galenapath-entry/src/data/plane.rs
+++ b/crates/galenapath-entry/src/data/plane.rs
@@ -1,4 +1,4 @@
-//! The state of the data path.
+//! State of the data path that all requests share.
 
 use super::explain::History;
 use super::service::Service;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Everything that requests on the data thread share.
+/// State that all requests on the data thread share.
 pub struct DataPlane {
     /// Views and counters shared with the other threads.
     pub shared: Arc<Shared>,
@@ -24,17 +24,17 @@
     pub suspects: RefCell<Suspects>,
     /// Explanations of recent requests.
     pub history: RefCell<History>,
-    /// Who waits for the end of a filing in progress.
+    /// Resends that wait for the end of a filing in progress.
     pub(super) filing_waiters: RefCell<FastMap<RecordId, Vec<oneshot::Sender<()>>>>,
     services: RefCell<FastMap<String, Rc<Service>>>,
     /// Number of the next request; also its admission ticket.
     next_request: Cell<u64>,
-    /// Requests that are being served.
+    /// Number of requests in progress.
     in_progress: Cell<usize>,
 }
 
 impl DataPlane {
-    /// A data path without services; they are made as requests name them.
+    /// Creates a data path without services; each is added with the first request for it.
     pub fn new(shared: Arc<Shared>, events: Sender<ControlEvent>) -> Rc<Self> {
         let filings = FilingTable::new(FilingConfig::default(), shared.incarnation);
         Rc::new(Self {
@@ -50,20 +50,20 @@
         })
     }
 
-    /// Time now.
+    /// Returns the current time of the instance's clock.
     pub fn now(&self) -> Micros {
         self.shared.clock.now()
     }
 
-    /// The service called `name`, brought up to date with the views. The name has to be known to
-    /// the configuration, or callers could fill the memory with names.
+    /// Returns the service `name`, updated with the current views. The name must occur in the
+    /// configuration; otherwise callers could exhaust memory with arbitrary names.
     pub(super) fn service(&self, name: &str, config: &Config) -> Rc<Service> {
         let service = self.find_or_add(name);
         service.refresh(self, config);
         service
     }
 
-    /// All services that have been asked for.
+    /// Returns all services that have been requested so far.
     pub(super) fn services(&self) -> Vec<Rc<Service>> {
         self.services.borrow().values().cloned().collect()
     }
@@ -78,26 +78,26 @@
         service
     }
 
-    /// Number for the next request.
+    /// Returns the number for the next request.
     pub(super) fn next_request(&self) -> u64 {
         let number = self.next_request.get();
         self.next_request.set(number + 1);
         number
     }
 
-    /// Requests that are being served.
+    /// Returns the number of requests in progress.
     pub fn in_progress(&self) -> usize {
         self.in_progress.get()
     }
 
-    /// Counts a request as being served until the guard is dropped.
-    pub(super) fn begin(self: &Rc<Self>) -> InProgress {
+    /// Counts a request as in progress until the returned guard is dropped.
+    pub(super) fn begin_request(self: &Rc<Self>) -> InProgress {
         self.in_progress.set(self.in_progress.get() + 1);
         InProgress(Rc::clone(self))
     }
 }
 
-/// A request that is being served.
+/// Guard of a request in progress.
 pub(super) struct InProgress(Rc<DataPlane>);
 
 impl Drop for InProgress {
--- a/crates/galenapath-entry/src/data/pool.rs
+++ b/crates/galenapath-entry/src/data/pool.rs
@@ -1,8 +1,8 @@
-//! Connections to one backend server.
+//! Connection pool of one backend server.
 //!
-//! A connection goes back to the pool only after a complete, well-framed answer with nothing
-//! unread behind it; every other end closes it. A late or cancelled answer can therefore never be
-//! read as the answer to another request.
+//! A connection is returned to the pool only after a complete, correctly framed answer with no
+//! unread bytes after it; in all other cases it is closed. A late or cancelled answer can therefore
+//! never be read as the answer to another request.
 
 use galenapath_http::Connection;
 use monoio::net::TcpStream;
@@ -13,25 +13,25 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Largest head of an answer, in bytes.
-const HEAD_LIMIT: usize = 64 * 1024;
+/// Maximum size of the head of an answer.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Idle connections are closed after this time; below the idle timeout of common servers, so that
-/// a reused connection is rarely one that the server is closing.
-const IDLE: Duration = Duration::from_secs(20);
+/// Time after which idle connections are closed. It is below the idle timeout of common servers, so
+/// that a connection is rarely reused while the server is closing it.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Connections to one backend server.
 ///
-/// Invariant: `open` counts the idle connections and those that are handed out; it never exceeds
-/// the share.
+/// Invariant: `open` counts the idle connections, those in use and those being opened. No
+/// connection is opened while it is at or above the share.
 pub(super) struct Pool {
     address: SocketAddr,
     share: Cell<usize>,
     open: Cell<usize>,
-    idle: RefCell<Vec<Idle>>,
+    idle: RefCell<Vec<IdleConnection>>,
 }
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
@@ -46,22 +46,22 @@
         }
     }
 
-    /// Sets how many connections may be open at once.
+    /// Sets the maximum number of open connections.
     pub(super) fn set_share(&self, share: usize) {
         self.share.set(share);
     }
 
-    /// Connections open now.
+    /// Returns the number of open connections.
     pub(super) fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// A connection that is idle, or a new one.
+    /// Returns an idle connection, or opens a new one.
     ///
     /// # Errors
     ///
-    /// When the share is used up or the server cannot be reached in time. Nothing was sent.
-    pub(super) async fn checkout(self: &Rc<Self>, limit: Duration) -> io::Result<Pooled> {
+    /// If the share is used up or the connection cannot be opened in time. Nothing was sent.
+    pub(super) async fn checkout(self: &Rc<Self>, timeout: Duration) -> io::Result<Pooled> {
         while let Some(mut connection) = self.take_idle() {
             if !connection.is_stale().await {
                 return Ok(self.guard(connection));
@@ -71,21 +71,21 @@
         if self.open.get() >= self.share.get() {
             return Err(io::Error::new(io::ErrorKind::WouldBlock, "connection share is used up"));
         }
-        // Counted before the wait, so that several waits at once keep to the share.
+        // Counted before the connection is open, so that concurrent calls do not exceed the share.
         self.open.set(self.open.get() + 1);
-        let place = Place(self);
-        let io = monoio::time::timeout(limit, TcpStream::connect(self.address))
+        let reservation = Reservation(self);
+        let io = monoio::time::timeout(timeout, TcpStream::connect(self.address))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        std::mem::forget(place);
-        Ok(self.guard(Connection::new(io, HEAD_LIMIT)))
+        std::mem::forget(reservation);
+        Ok(self.guard(Connection::new(io, MAX_HEAD_BYTES)))
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have been idle for `IDLE_TIMEOUT` or longer.
     pub(super) fn sweep(&self) {
         let mut idle = self.idle.borrow_mut();
         let before = idle.len();
-        idle.retain(|entry| entry.since.elapsed() < IDLE);
+        idle.retain(|entry| entry.since.elapsed() < IDLE_TIMEOUT);
         self.open.set(self.open.get() - (before - idle.len()));
     }
 
@@ -104,31 +104,32 @@
     }
 }
 
-/// A place in the share that is given back unless a connection fills it.
-struct Place<'a>(&'a Pool);
+/// A reservation of one connection of the share. Dropping it releases the reservation.
+struct Reservation<'a>(&'a Pool);
 
-impl Drop for Place<'_> {
+impl Drop for Reservation<'_> {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
     }
 }
 
-/// A connection that is in use. Dropping it closes it.
+/// Guard of a connection in use. Dropping it closes the connection.
 pub(super) struct Pooled {
     pool: Rc<Pool>,
-    /// `None` only after `give_back`.
+    /// `None` only after `return_to_pool`.
     connection: Option<Connection>,
 }
 
 impl Pooled {
-    /// Gives the connection back for reuse. Call only after a complete answer.
-    pub(super) fn give_back(mut self) {
+    /// Returns the connection to the pool; it is closed instead if it has unread bytes. Must be
+    /// called only after a complete answer.
+    pub(super) fn return_to_pool(mut self) {
         let Some(connection) = self.connection.take() else { return };
         if connection.has_unread() {
             self.connection = Some(connection);
             return;
         }
-        self.pool.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
+        self.pool.idle.borrow_mut().push(IdleConnection { connection, since: Instant::now() });
     }
 }
 
--- a/crates/galenapath-entry/src/data/prepare.rs
+++ b/crates/galenapath-entry/src/data/prepare.rs
@@ -1,4 +1,4 @@
-//! A request as it goes to a backend server.
+//! A request in the form that is sent to backend servers.
 
 use super::headers;
 use super::plane::DataPlane;
@@ -8,20 +8,20 @@
 use galenapath_http::{Framing, RequestHead};
 use http::{HeaderMap, Method};
 
-/// A request whose body is at hand, so that it can be sent again.
+/// A request whose body is buffered, so that it can be sent more than once.
 pub(super) struct Prepared {
     pub(super) method: Method,
     /// Path and query.
     pub(super) path: String,
-    /// Headers that pass to the backend server.
+    /// Headers for the backend server.
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    /// Hash of what makes two requests the same work.
+    /// Hash of the service, method, path and body; equal for equal requests.
     pub(super) fingerprint: Fingerprint,
 }
 
 impl Prepared {
-    /// Turns a caller's request into the one that backend servers get.
+    /// Converts a caller's request into the one that is sent to backend servers.
     pub(super) fn new(
         plane: &DataPlane,
         meta: &RequestMeta,
@@ -36,7 +36,7 @@
         Self { method: head.method, path, headers, body, fingerprint }
     }
 
-    /// How the body is framed.
+    /// Returns the framing of the body.
     pub(super) fn framing(&self) -> Framing {
         match self.body.len() {
             0 => Framing::None,
--- a/crates/galenapath-entry/src/data/probes.rs
+++ b/crates/galenapath-entry/src/data/probes.rs
@@ -1,6 +1,7 @@
-//! Probes of load where traffic brings no fresh reports, and upkeep of the connections.
+//! Periodic tasks of the data thread: probes of the load of backend servers whose reports are
+//! stale, and expiry of idle connections and filing records.
 
-use super::attempt::{Target, read_final_head, take_report};
+use super::attempt::{Target, apply_report, read_final_head};
 use super::plane::DataPlane;
 use super::service::Service;
 use galenapath_http::{Framing, HttpError, put_request};
@@ -10,30 +11,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Where backend servers tell their load.
+/// Path on which backend servers report their load.
 const PROBE_PATH: &str = "/.well-known/load";
 
-/// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(50);
+/// Time between two checks for probes that are due.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Ticks between two sweeps of idle connections.
+/// Ticks between two sweeps of idle connections and filing records.
 const SWEEP_TICKS: u32 = 20;
 
-/// Longest time for a probe.
-const PROBE_LIMIT: Duration = Duration::from_secs(1);
+/// Maximum time for a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Sends probes that are due and closes idle connections, for as long as the instance runs.
+/// Runs the periodic tasks for as long as the instance runs.
 pub(super) async fn run(plane: Rc<DataPlane>) {
     let mut ticks = 0_u32;
     loop {
-        monoio::time::sleep(TICK).await;
+        monoio::time::sleep(TICK_INTERVAL).await;
         ticks = ticks.wrapping_add(1);
         let config = plane.shared.config.load_full();
         let mut connections = 0;
         for service in plane.services() {
             service.refresh(&plane, &config);
             service.poll(plane.now());
-            send_due(&plane, &service);
+            send_due_probes(&plane, &service);
             if ticks.is_multiple_of(SWEEP_TICKS) {
                 connections += service.sweep();
             }
@@ -46,14 +47,14 @@
     }
 }
 
-fn send_due(plane: &Rc<DataPlane>, service: &Rc<Service>) {
+fn send_due_probes(plane: &Rc<DataPlane>, service: &Rc<Service>) {
     loop {
-        let slot = service.state.borrow_mut().balancer.next_probe(plane.now());
-        let Some(slot) = slot else { return };
+        let handle = service.state.borrow_mut().balancer.next_probe(plane.now());
+        let Some(handle) = handle else { return };
         plane.shared.metrics.probes.inc();
         let (plane, service) = (Rc::clone(plane), Rc::clone(service));
         monoio::spawn(async move {
-            let sent = monoio::time::timeout(PROBE_LIMIT, probe(&plane, &service, slot)).await;
+            let sent = monoio::time::timeout(PROBE_TIMEOUT, probe(&plane, &service, handle)).await;
             if !matches!(sent, Ok(Ok(()))) {
                 plane.shared.metrics.fault("probe_failed");
             }
@@ -61,15 +62,19 @@
     }
 }
 
-async fn probe(plane: &DataPlane, service: &Service, slot: BackendHandle) -> Result<(), HttpError> {
-    let Some(backend) = service.backend(slot) else { return Ok(()) };
-    let mut connection = backend.pool.checkout(PROBE_LIMIT).await?;
+async fn probe(
+    plane: &DataPlane,
+    service: &Service,
+    handle: BackendHandle,
+) -> Result<(), HttpError> {
+    let Some(backend) = service.backend(handle) else { return Ok(()) };
+    let mut connection = backend.pool.checkout(PROBE_TIMEOUT).await?;
     let headers = HeaderMap::new();
     put_request(connection.output(), &Method::HEAD, PROBE_PATH, &headers, &[], Framing::None);
     connection.flush().await?;
     let head = read_final_head(&mut connection).await?;
-    let deadline = plane.now() + Micros::from(PROBE_LIMIT);
-    take_report(&Target { plane, service, slot, backend: &backend, deadline }, &head.headers);
-    connection.give_back();
+    let deadline = plane.now() + Micros::from(PROBE_TIMEOUT);
+    apply_report(&Target { plane, service, handle, backend: &backend, deadline }, &head.headers);
+    connection.return_to_pool();
     Ok(())
 }
--- a/crates/galenapath-entry/src/data/relay.rs
+++ b/crates/galenapath-entry/src/data/relay.rs
@@ -1,12 +1,12 @@
-//! Passing a backend server's answer on to the caller.
+//! Relaying a backend server's answer to the caller.
 
-use super::answer::{About, OwnAnswer, has_no_body, send_whole};
+use super::answer::{OwnAnswer, RequestInfo, has_no_body, send_whole};
 use super::attempt::{Reply, Rest};
 use super::call::Call;
 use super::caller::{Caller, read_piece};
 use super::headers;
-use super::pace::Pace;
 use super::request::RequestId;
+use super::throttle::StreamThrottle;
 use bytes::Bytes;
 use futures::future::{Either, select};
 use galenapath_http::{Framing, HttpError, put_response};
@@ -18,14 +18,14 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Longest pause inside a body, on either side, before the answer is given up.
-const BODY_PAUSE: Duration = Duration::from_secs(30);
+/// Maximum time without progress in a body, on either side, before the transfer is aborted.
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What the headers of an answer tell about it.
-pub(super) struct Told<'a> {
+/// Metadata that is added to the headers of a relayed answer.
+pub(super) struct AnswerMeta<'a> {
     /// Identifier of the request.
     pub(super) id: RequestId,
-    /// Who answered.
+    /// The backend server or instance that answered.
     pub(super) backend: &'a BackendId,
     /// Verdict on the request.
     pub(super) verdict: Verdict,
@@ -33,41 +33,45 @@
     pub(super) attempts: u32,
 }
 
-impl<'a> Told<'a> {
-    /// About the answer of a backend server to `call`.
+impl<'a> AnswerMeta<'a> {
+    /// Creates the metadata of a backend server's answer to `call`.
     pub(super) fn answered(call: &Call, backend: &'a BackendId) -> Self {
-        let attempts = call.trace.borrow().attempts;
+        let attempts = call.trace.borrow().attempt_count;
         Self { id: call.meta.id, backend, verdict: Verdict::Answered, attempts }
     }
 }
 
-/// Sends an answer on. An error means that the caller did not get all of it and that its
-/// connection has to be closed, which tells the caller so.
+/// Relays an answer to the caller.
+///
+/// # Errors
+///
+/// If the answer was not sent completely. The caller's connection must then be closed, so that the
+/// caller recognizes the answer as truncated.
 pub(super) async fn send(
     caller: &mut Caller,
-    told: &Told<'_>,
+    answer_meta: &AnswerMeta<'_>,
     mut reply: Reply,
 ) -> Result<(), HttpError> {
     headers::strip(&mut reply.headers);
-    headers::set(&mut reply.headers, VERDICT_HEADER, told.verdict.as_str());
-    headers::set(&mut reply.headers, REQUEST_ID_HEADER, &told.id.to_string());
-    headers::set(&mut reply.headers, BACKEND_HEADER, &told.backend.0);
-    headers::set(&mut reply.headers, ATTEMPT_HEADER, &told.attempts.to_string());
+    headers::set(&mut reply.headers, VERDICT_HEADER, answer_meta.verdict.as_str());
+    headers::set(&mut reply.headers, REQUEST_ID_HEADER, &answer_meta.id.to_string());
+    headers::set(&mut reply.headers, BACKEND_HEADER, &answer_meta.backend.0);
+    headers::set(&mut reply.headers, ATTEMPT_HEADER, &answer_meta.attempts.to_string());
     match reply.rest {
         None if caller.method == Method::HEAD => {
-            caller.set_connection(&mut reply.headers);
+            caller.set_connection_header(&mut reply.headers);
             send_head_only(caller, reply.status, reply.headers).await
         }
         None => send_whole(caller, reply.status, reply.headers, &reply.start).await,
         Some(rest) => {
             let head =
                 LargeHead { status: reply.status, headers: reply.headers, framing: reply.framing };
-            send_large(caller, told, head, &reply.start, rest).await
+            send_large(caller, answer_meta, head, &reply.start, rest).await
         }
     }
 }
 
-/// Answers `HEAD` with the headers as the backend server set them, its length included.
+/// Answers `HEAD` with the headers that the backend server set, including `Content-Length`.
 async fn send_head_only(
     caller: &mut Caller,
     status: StatusCode,
@@ -85,66 +89,71 @@
     caller.connection.flush().await
 }
 
+/// The head of an answer whose body is relayed in pieces.
 struct LargeHead {
     status: StatusCode,
     headers: HeaderMap,
     framing: Framing,
 }
 
-/// Turns away a caller who could not tell the end of the answer from a break: HTTP/1.0 knows no
-/// chunks, and the length is not known before the end.
-async fn refuse_http_10(caller: &mut Caller, told: &Told<'_>) -> Result<(), HttpError> {
+/// Rejects an HTTP/1.0 request for an answer whose length is not known in advance. HTTP/1.0 has no
+/// chunked encoding, so the caller could not distinguish a complete answer from a truncated one.
+async fn reject_http_10(
+    caller: &mut Caller,
+    answer_meta: &AnswerMeta<'_>,
+) -> Result<(), HttpError> {
     let text = "the answer has no known length; ask for it with HTTP/1.1";
     let status = StatusCode::HTTP_VERSION_NOT_SUPPORTED;
-    let about = About { id: told.id, attempts: told.attempts };
-    OwnAnswer::may_have_run(status, "http_version", text).send(caller, Some(about)).await
+    let request = RequestInfo { id: answer_meta.id, attempts: answer_meta.attempts };
+    OwnAnswer::may_have_run(status, "http_version", text).send(caller, Some(request)).await
 }
 
 async fn send_large(
     caller: &mut Caller,
-    told: &Told<'_>,
+    answer_meta: &AnswerMeta<'_>,
     mut head: LargeHead,
     start: &[u8],
     mut rest: Rest,
 ) -> Result<(), HttpError> {
-    // A body that ends with the backend server's connection is sent on in chunks, so that the
-    // caller can tell its end from a break.
+    // A body that ends when the backend server closes the connection is relayed in chunks, so that
+    // the caller can distinguish a complete answer from a truncated one.
     let framing = match head.framing {
         Framing::UntilClose => Framing::Chunked,
         other => other,
     };
     if caller.is_http_10 && framing == Framing::Chunked {
-        return refuse_http_10(caller, told).await;
+        return reject_http_10(caller, answer_meta).await;
     }
-    caller.set_connection(&mut head.headers);
+    caller.set_connection_header(&mut head.headers);
     put_response(caller.connection.output(), head.status, &head.headers, framing, true);
-    within_pause(caller.connection.write_body(framing, start)).await?;
-    let mut pace = Pace::default();
+    with_idle_timeout(caller.connection.write_body(framing, start)).await?;
+    let mut throttle = StreamThrottle::default();
     while let Some(piece) = next_piece(caller, &mut rest).await? {
-        within_pause(caller.connection.write_body(framing, &piece)).await?;
-        pace.passed(piece.len()).await;
+        with_idle_timeout(caller.connection.write_body(framing, &piece)).await?;
+        throttle.record(piece.len()).await;
     }
-    within_pause(caller.connection.finish_body(framing)).await?;
+    with_idle_timeout(caller.connection.finish_body(framing)).await?;
     if head.framing != Framing::UntilClose {
-        rest.connection.give_back();
+        rest.connection.return_to_pool();
     }
     Ok(())
 }
 
-/// The next piece of an answer, unless the caller goes away first.
+/// Reads the next piece of an answer; fails if the caller disconnects first.
 async fn next_piece(caller: &mut Caller, rest: &mut Rest) -> Result<Option<Bytes>, HttpError> {
-    let piece = pin!(read_piece(&mut rest.connection, &mut rest.state, BODY_PAUSE));
-    let gone = pin!(caller.connection.closed());
-    match select(piece, gone).await {
+    let piece = pin!(read_piece(&mut rest.connection, &mut rest.state, BODY_IDLE_TIMEOUT));
+    let caller_closed = pin!(caller.connection.closed());
+    match select(piece, caller_closed).await {
         Either::Left((piece, _)) => piece,
         Either::Right(_) => Err(HttpError::Closed),
     }
 }
 
-pub(super) async fn within_pause<T>(
+/// Runs `work`; fails if it takes longer than `BODY_IDLE_TIMEOUT`.
+pub(super) async fn with_idle_timeout<T>(
     work: impl Future<Output = Result<T, HttpError>>,
 ) -> Result<T, HttpError> {
-    monoio::time::timeout(BODY_PAUSE, work)
+    monoio::time::timeout(BODY_IDLE_TIMEOUT, work)
         .await
         .unwrap_or_else(|_| Err(HttpError::Io(std::io::ErrorKind::TimedOut.into())))
 }
--- a/crates/galenapath-entry/src/data/request.rs
+++ b/crates/galenapath-entry/src/data/request.rs
@@ -1,4 +1,4 @@
-//! What is known of a request before it is let in.
+//! Properties of a request that are known before admission.
 
 use galenapath_config::Class;
 use galenapath_http::{Framing, RequestHead};
@@ -10,22 +10,23 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Workspace of callers that name none.
+/// Workspace of requests that state none.
 const DEFAULT_WORKSPACE: &str = "default";
 
-/// Longest name of a workspace, in bytes; longer ones are cut.
-const WORKSPACE_LEN: usize = 64;
+/// Maximum length of a workspace's name; longer names are truncated.
+const MAX_WORKSPACE_BYTES: usize = 64;
 
-/// Time for a request whose caller sets no deadline.
-const DEFAULT_TIME: Micros = Micros::from_secs(10);
+/// Caller timeout of a request that states no deadline.
+const DEFAULT_TIMEOUT: Micros = Micros::from_secs(10);
 
-/// Time for a transfer whose caller sets no deadline.
-const DEFAULT_TRANSFER_TIME: Micros = Micros::from_secs(300);
+/// Caller timeout of a transfer that states no deadline.
+const DEFAULT_TRANSFER_TIMEOUT: Micros = Micros::from_secs(300);
 
-/// Longest time that a caller may ask for.
-const MOST_TIME: Micros = Micros::from_secs(3_600);
+/// Maximum caller timeout; longer ones are reduced to it.
+const MAX_TIMEOUT: Micros = Micros::from_secs(3_600);
 
-/// Identifier of a request, unique over all instances: `<incarnation>-<number>`.
+/// Identifier of a request, unique over all instances. Its text form is `<incarnation>-<number>`,
+/// with a hexadecimal number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct RequestId {
     pub(super) incarnation: Incarnation,
@@ -33,7 +34,7 @@
 }
 
 impl RequestId {
-    /// Reads an identifier's text form.
+    /// Parses the text form of an identifier.
     pub(super) fn parse(text: &str) -> Option<Self> {
         let (incarnation, number) = text.split_once('-')?;
         let number = u64::from_str_radix(number, 16).ok()?;
@@ -47,7 +48,7 @@
     }
 }
 
-/// A request with its class.
+/// Properties of a request of a known class.
 pub(super) struct RequestMeta {
     pub(super) id: RequestId,
     /// Number of the request on this instance; also its admission ticket.
@@ -56,17 +57,17 @@
     pub(super) class: Arc<Class>,
     /// The caller's workspace.
     pub(super) workspace: String,
-    /// When its head had arrived.
+    /// Time at which its head had arrived.
     pub(super) arrived: Micros,
-    /// When the caller gives up.
+    /// Time at which the caller gives up.
     pub(super) deadline: Micros,
-    /// Idempotency key, where the caller sent one.
+    /// Idempotency key, if the caller sent one.
     pub(super) key: Option<String>,
-    /// Entry instances that the request has passed.
+    /// Number of entry instances that have forwarded the request.
     pub(super) hops: u32,
-    /// Attempts made on it so far by those that it has passed; zero from a caller.
+    /// Attempts already made, as stated in the request; zero if it states none.
     pub(super) attempts: u32,
-    /// Where its body ends.
+    /// Framing of its body.
     pub(super) framing: Framing,
 }
 
@@ -78,20 +79,20 @@
         head: &RequestHead,
         framing: Framing,
     ) -> Self {
-        let workspace = text(&head.headers, WORKSPACE_HEADER).unwrap_or(DEFAULT_WORKSPACE);
+        let workspace = header_text(&head.headers, WORKSPACE_HEADER).unwrap_or(DEFAULT_WORKSPACE);
         let is_transfer = class.kind == galenapath_config::ClassKind::Transfer;
-        let time = if is_transfer { DEFAULT_TRANSFER_TIME } else { DEFAULT_TIME };
-        let asked = number(&head.headers, DEADLINE_HEADER).map(Micros::from_millis);
+        let default_timeout = if is_transfer { DEFAULT_TRANSFER_TIMEOUT } else { DEFAULT_TIMEOUT };
+        let requested = header_number(&head.headers, DEADLINE_HEADER).map(Micros::from_millis);
         Self {
             id,
             number: id.number,
-            workspace: cut(workspace, WORKSPACE_LEN).to_owned(),
+            workspace: truncate(workspace, MAX_WORKSPACE_BYTES).to_owned(),
             arrived,
-            deadline: arrived + asked.unwrap_or(time).min(MOST_TIME),
-            key: text(&head.headers, IDEMPOTENCY_KEY_HEADER).map(str::to_owned),
-            hops: number(&head.headers, HOPS_HEADER)
+            deadline: arrived + requested.unwrap_or(default_timeout).min(MAX_TIMEOUT),
+            key: header_text(&head.headers, IDEMPOTENCY_KEY_HEADER).map(str::to_owned),
+            hops: header_number(&head.headers, HOPS_HEADER)
                 .map_or(0, |hops| u32::try_from(hops).unwrap_or(u32::MAX)),
-            attempts: number(&head.headers, ATTEMPT_HEADER)
+            attempts: header_number(&head.headers, ATTEMPT_HEADER)
                 .map_or(0, |count| u32::try_from(count).unwrap_or(u32::MAX)),
             framing,
             class,
@@ -99,18 +100,20 @@
     }
 }
 
-/// Value of a header, where it is text.
-pub(super) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+/// Returns the value of a header, if it is text.
+pub(super) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok().map(str::trim)
 }
 
-/// Value of a header, where it is a whole number that a span in milliseconds can hold.
-pub(super) fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
-    let number: u32 = text(headers, name)?.parse().ok()?;
+/// Returns the value of a header, if it is an integer of at most 32 bits, which can be converted
+/// from milliseconds to microseconds without overflow.
+pub(super) fn header_number(headers: &HeaderMap, name: &str) -> Option<u64> {
+    let number: u32 = header_text(headers, name)?.parse().ok()?;
     Some(u64::from(number))
 }
 
-fn cut(text: &str, most: usize) -> &str {
-    let end = (0..=most.min(text.len())).rev().find(|&at| text.is_char_boundary(at));
+/// Truncates a text to at most `max_bytes`, at a character boundary.
+fn truncate(text: &str, max_bytes: usize) -> &str {
+    let end = (0..=max_bytes.min(text.len())).rev().find(|&at| text.is_char_boundary(at));
     &text[..end.unwrap_or(0)]
 }
--- a/crates/galenapath-entry/src/data/service.rs
+++ b/crates/galenapath-entry/src/data/service.rs
@@ -1,7 +1,7 @@
-//! One service on the data path: its backend servers and the decisions about them.
+//! A service on the data path: its backend servers, admission and load balancing.
 
 use super::backend::Backend;
-use super::dispatching::Dispatching;
+use super::dispatchers::Dispatchers;
 use super::plane::DataPlane;
 use crate::fleet::FleetBackend;
 use crate::shared::{MemberView, Shared};
@@ -17,44 +17,44 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Slots assumed of a backend server that has not yet told.
+/// Number of slots assumed per listed backend server, whether or not it has reported its load.
 const ASSUMED_SLOTS: u32 = 6;
 
-/// Least number of instances among which probes are split: an instance that has just started does
-/// not know the others yet, and today's deployments have 16.
-const LEAST_PROBE_SHARERS: u32 = 16;
+/// Minimum number of instances among which probes are divided. An instance that has just started
+/// does not know the others yet, and deployments have 16 by default.
+const MIN_PROBE_SHARERS: u32 = 16;
 
-/// Time between two looks at the service's rate.
+/// Minimum time between two estimates of the service's request rate.
 const RATE_INTERVAL: Micros = Micros::from_secs(1);
 
-/// One service.
+/// A service.
 pub(super) struct Service {
-    /// Its name, as callers give it in `Host`.
+    /// Its name, which callers send in the `Host` header.
     pub(super) name: String,
-    /// Decisions; borrowed only between two awaits.
+    /// Its state. Never borrowed across an await.
     pub(super) state: RefCell<State>,
 }
 
-/// The decisions of a service and what they are about.
+/// The state of a service.
 ///
-/// Invariant: `waiters` holds exactly the tickets that wait in `admission`.
+/// Invariant: `waiters` contains exactly the tickets that are queued in `admission`.
 pub(super) struct State {
     pub(super) balancer: Balancer,
     pub(super) admission: Admission,
     pub(super) retries: RetryBudget,
     pub(super) hedges: HedgePolicy,
     pub(super) waiters: FastMap<Ticket, oneshot::Sender<QueuedDecision>>,
-    /// Requests that were let in and of which no attempt has begun: the balancer still counts
-    /// their slots as free.
+    /// Number of admitted requests without an attempt so far. The balancer still counts their slots
+    /// as free.
     pub(super) unsent: u32,
     backends: FastMap<BackendId, Rc<Backend>>,
     classes: FastMap<String, ClassIndex>,
     fleet_version: Option<u64>,
     config_version: Option<u64>,
     members_version: Option<u64>,
-    pub(super) dispatching: Dispatching,
-    rate_at: Micros,
-    /// Connections to each backend server in the last list that was taken in.
+    pub(super) dispatchers: Dispatchers,
+    rate_updated_at: Micros,
+    /// Connection share that was applied with the last list of backend servers.
     share: u32,
 }
 
@@ -74,14 +74,14 @@
             fleet_version: None,
             config_version: None,
             members_version: None,
-            dispatching: Dispatching::new(),
-            rate_at: Micros::ZERO,
+            dispatchers: Dispatchers::new(),
+            rate_updated_at: Micros::ZERO,
             share: 0,
         };
         Rc::new(Self { name: name.to_owned(), state: RefCell::new(state) })
     }
 
-    /// Takes in views that are newer than what the service has seen.
+    /// Applies the configuration, instances and backend servers that changed since the last call.
     pub(super) fn refresh(&self, plane: &DataPlane, config: &Config) {
         let now = plane.now();
         let mut state = self.state.borrow_mut();
@@ -89,7 +89,7 @@
             state.set_classes(&self.name, config);
         }
         let members = plane.shared.members.load();
-        let since_rate = now - state.rate_at;
+        let since_rate = now - state.rate_updated_at;
         if state.members_version != Some(members.version) || since_rate >= RATE_INTERVAL {
             state.members_version = Some(members.version);
             state.set_members(now, &self.name, plane.shared.incarnation, &members);
@@ -101,51 +101,52 @@
         }
     }
 
-    /// Index of a class of this service.
+    /// Returns the index of a class of this service.
     pub(super) fn class_index(&self, class: &str) -> ClassIndex {
         self.state.borrow().classes.get(class).copied().unwrap_or(ClassIndex(0))
     }
 
-    /// Starts or turns away what waits, as far as it is time for that.
+    /// Admits or rejects the queued requests for which this is due.
     pub(super) fn poll(&self, now: Micros) {
-        let mut steps = Vec::new();
+        let mut decisions = Vec::new();
         loop {
             let mut state = self.state.borrow_mut();
-            state.tell_capacity(now);
-            state.admission.poll(now, &mut steps);
-            if steps.is_empty() {
+            state.update_capacity(now);
+            state.admission.poll(now, &mut decisions);
+            if decisions.is_empty() {
                 return;
             }
-            for step in steps.drain(..) {
-                state.deliver(now, step);
+            for decision in decisions.drain(..) {
+                state.deliver(now, decision);
             }
         }
     }
 
-    /// Closes connections that have been idle for too long; returns how many stay open.
+    /// Closes connections that have been idle too long; returns the number of those still open.
     pub(super) fn sweep(&self) -> usize {
         let state = self.state.borrow();
         state.backends.values().for_each(|backend| backend.pool.sweep());
         state.backends.values().map(|backend| backend.pool.open()).sum()
     }
 
-    /// The backend server behind a slot.
-    pub(super) fn backend(&self, slot: BackendHandle) -> Option<Rc<Backend>> {
+    /// Returns the backend server with this handle.
+    pub(super) fn backend(&self, handle: BackendHandle) -> Option<Rc<Backend>> {
         let state = self.state.borrow();
-        let id = state.balancer.backend(slot)?;
+        let id = state.balancer.backend(handle)?;
         state.backends.get(id).cloned()
     }
 }
 
 impl State {
-    /// Tells admission and the balancer about each other. Where no slot is free, one more request
-    /// may come in if it had better cross to another failure domain than wait.
-    fn tell_capacity(&mut self, now: Micros) {
+    /// Updates the balancer with the number of queued requests, and admission with the capacity. If
+    /// no slot is free, one more request is admitted if it is better sent to another failure domain
+    /// than queued.
+    fn update_capacity(&mut self, now: Micros) {
         let waiting = u32::try_from(self.admission.waiting()).unwrap_or(u32::MAX);
         self.balancer.set_waiting(waiting);
         let free = self.balancer.free_slots(now);
-        let crosses = free == 0 && self.balancer.choose_cross_domain(now).is_some();
-        let room = free.max(u32::from(crosses)).saturating_sub(self.unsent);
+        let can_send_cross_domain = free == 0 && self.balancer.choose_cross_domain(now).is_some();
+        let room = free.max(u32::from(can_send_cross_domain)).saturating_sub(self.unsent);
         let admitted = u32::try_from(self.admission.in_flight()).unwrap_or(u32::MAX);
         self.admission.set_capacity(now, admitted.saturating_add(room));
     }
@@ -171,22 +172,22 @@
     }
 
     fn set_members(&mut self, now: Micros, service: &str, own: Incarnation, members: &MemberView) {
-        let since_rate = now - self.rate_at;
-        let over = if since_rate >= RATE_INTERVAL { since_rate } else { Micros::ZERO };
-        if over > Micros::ZERO {
-            self.rate_at = now;
+        let since_rate = now - self.rate_updated_at;
+        let elapsed = if since_rate >= RATE_INTERVAL { since_rate } else { Micros::ZERO };
+        if elapsed > Micros::ZERO {
+            self.rate_updated_at = now;
         }
-        self.dispatching.update(now, service, own, members, over);
-        self.balancer.set_dispatchers(now, self.dispatching.number());
+        self.dispatchers.update(now, service, own, members, elapsed);
+        self.balancer.set_dispatchers(now, self.dispatchers.count());
         self.balancer.set_probe_sharers(now, probe_sharers(members));
-        // The share may have changed, so the list of backend servers is taken in again.
-        if self.share != self.dispatching.share(now) {
+        // If the share has changed, the list of backend servers must be applied again.
+        if self.share != self.dispatchers.share(now) {
             self.fleet_version = None;
         }
     }
 
     fn set_backends(&mut self, now: Micros, listed: &[FleetBackend]) {
-        let share = self.dispatching.share(now);
+        let share = self.dispatchers.share(now);
         self.share = share;
         let specs: Vec<BackendSpec> = listed.iter().map(|b| to_spec(b, share)).collect();
         self.balancer.set_backends(now, &specs);
@@ -195,8 +196,8 @@
         self.admission.set_service_slots(now, slots);
         let mut backends = FastMap::default();
         for entry in listed {
-            let known = self.backends.remove(&entry.id).filter(|b| b.is_same_run(entry));
-            let backend = known.unwrap_or_else(|| Rc::new(Backend::new(entry)));
+            let existing = self.backends.remove(&entry.id).filter(|b| b.is_same_run(entry));
+            let backend = existing.unwrap_or_else(|| Rc::new(Backend::new(entry)));
             backend.set_share(share);
             if entry.leaving {
                 backend.pool.close_idle();
@@ -206,11 +207,13 @@
         self.backends = backends;
     }
 
-    fn deliver(&mut self, now: Micros, step: QueuedDecision) {
-        let (QueuedDecision::Start(ticket) | QueuedDecision::Reject(ticket, _)) = step;
-        let is_taken = self.waiters.remove(&ticket).is_some_and(|tx| tx.send(step).is_ok());
-        match step {
-            QueuedDecision::Start(_) if is_taken => self.unsent += 1,
+    /// Delivers a decision to the queued request; an admitted one that has stopped waiting is
+    /// cancelled.
+    fn deliver(&mut self, now: Micros, decision: QueuedDecision) {
+        let (QueuedDecision::Start(ticket) | QueuedDecision::Reject(ticket, _)) = decision;
+        let is_delivered = self.waiters.remove(&ticket).is_some_and(|tx| tx.send(decision).is_ok());
+        match decision {
+            QueuedDecision::Start(_) if is_delivered => self.unsent += 1,
             QueuedDecision::Start(_) => self.admission.cancel(now, ticket),
             QueuedDecision::Reject(..) => {}
         }
@@ -237,9 +240,9 @@
     BalancerConfig { policy, ..BalancerConfig::default() }
 }
 
-/// Instances among which probes are split. While instances are replaced, old and new ones probe by
-/// lists that differ, so each counts twice as many as it sees.
+/// Returns the number of instances among which probes are divided. While instances are replaced,
+/// old and new ones probe according to different lists, so each counts twice as many as it knows.
 fn probe_sharers(members: &MemberView) -> u32 {
     let usable = u32::try_from(members.usable.len()).unwrap_or(u32::MAX);
-    usable.saturating_mul(2).max(LEAST_PROBE_SHARERS)
+    usable.saturating_mul(2).max(MIN_PROBE_SHARERS)
 }
