--- a/crates/galenapath-entry/src/control/stop.rs
+++ b/crates/galenapath-entry/src/control/stop.rs
@@ -7,7 +7,7 @@
 use super::{gossip, lists};
 use crate::data::{DataCommand, SUCCESSORS};
 use crate::shared::Stage;
-use galenapath_filings::{HandOver, successors};
+use galenapath_filings::{HandOverEntry, successors};
 use galenapath_peers::{HandOverWire, PeerCall};
 use galenapath_protocol::Incarnation;
 use std::net::SocketAddr;
@@ -70,7 +70,7 @@
     let Ok(outcomes) = rx.recv_async().await else { return };
     let own = plane.shared.incarnation;
     let usable: Vec<_> = plane.members.borrow().usable().map(|m| m.incarnation).collect();
-    let parts = HandOver::parts(outcomes, PART_BYTES);
+    let parts = HandOverEntry::split(outcomes, PART_BYTES);
     for successor in successors(own, &usable, SUCCESSORS) {
         let to = plane.members.borrow().find(successor).map(|member| member.peers);
         let Some(to) = to else { continue };
@@ -82,7 +82,7 @@
     }
 }
 
-async fn send_part(plane: &ControlPlane, to: SocketAddr, part: &[HandOver]) -> bool {
+async fn send_part(plane: &ControlPlane, to: SocketAddr, part: &[HandOverEntry]) -> bool {
     let outcomes = galenapath_peers::hand_over(plane.shared.incarnation, part);
     let (reply, answer) = flume::bounded(1);
     let call = PeerCall::HandOver { to, outcomes, reply };
--- a/crates/galenapath-entry/src/data/commands.rs
+++ b/crates/galenapath-entry/src/data/commands.rs
@@ -3,7 +3,7 @@
 use super::explain::Explanation;
 use super::plane::DataPlane;
 use flume::{Receiver, Sender};
-use galenapath_filings::{HandOver, SuspectWire};
+use galenapath_filings::{HandOverEntry, SuspectReport};
 use galenapath_protocol::Incarnation;
 use std::rc::Rc;
 
@@ -17,13 +17,13 @@
         reply: Sender<Option<Explanation>>,
     },
     /// Take in what a peer knows of suspects.
-    Suspects(Vec<SuspectWire>),
+    Suspects(Vec<SuspectReport>),
     /// Take over the outcomes of an incarnation that stops.
     Adopt {
         /// The incarnation.
         from: Incarnation,
         /// Its outcomes.
-        outcomes: Vec<HandOver>,
+        outcomes: Vec<HandOverEntry>,
     },
     /// Take no new filings, because the instance is stopping.
     BeginStop,
@@ -35,7 +35,7 @@
     /// Give up all filings and tell their outcomes.
     HandOver {
         /// Where they go.
-        reply: Sender<Vec<HandOver>>,
+        reply: Sender<Vec<HandOverEntry>>,
     },
 }
 
@@ -55,7 +55,7 @@
         }
         DataCommand::Suspects(news) => plane.suspects.borrow_mut().merge(now, &news),
         DataCommand::Adopt { from, outcomes } => {
-            plane.filings.borrow_mut().adopt(now, from, outcomes);
+            plane.filings.borrow_mut().apply_hand_over(now, from, outcomes);
         }
         DataCommand::BeginStop => plane.filings.borrow_mut().begin_stop(),
         DataCommand::InProgress { reply } => {
--- a/crates/galenapath-entry/src/data/crash.rs
+++ b/crates/galenapath-entry/src/data/crash.rs
@@ -69,7 +69,7 @@
     let running = backend.running.running.borrow();
     let now = plane.now();
     let mut suspects = plane.suspects.borrow_mut();
-    suspects.crashed(now, name, &running);
+    suspects.record_crash(now, name, &running);
     let (told, rx) = flume::bounded(1);
     let note = CrashNote { facts: suspects.export(now), told };
     let _ = plane.events.try_send(ControlEvent::Crash(note));
@@ -94,19 +94,19 @@
 
 impl Drop for Trial<'_> {
     fn drop(&mut self) {
-        self.plane.suspects.borrow_mut().trial_ended(self.fp);
+        self.plane.suspects.borrow_mut().end_isolated_run(self.fp);
     }
 }
 
 /// Judges a request.
 pub(super) fn clearance(plane: &DataPlane, fp: Fingerprint) -> Clearance<'_> {
     let mut suspects = plane.suspects.borrow_mut();
-    match suspects.judge(plane.now(), fp) {
+    match suspects.check(plane.now(), fp) {
         SuspectVerdict::Clear => Clearance::Free,
-        SuspectVerdict::RunAlone => {
-            suspects.trial_started(fp);
+        SuspectVerdict::RunIsolated => {
+            suspects.begin_isolated_run(fp);
             Clearance::Alone(Trial { plane, fp })
         }
-        refuse @ SuspectVerdict::Refuse { .. } => Clearance::Refused(refuse),
+        refuse @ SuspectVerdict::Reject { .. } => Clearance::Refused(refuse),
     }
 }
--- a/crates/galenapath-entry/src/data/dispatch.rs
+++ b/crates/galenapath-entry/src/data/dispatch.rs
@@ -186,7 +186,7 @@
 
     fn answered(&self, backend: &Backend, reply: &Reply, latency: Micros) {
         let fingerprint = self.req.fingerprint;
-        self.call.plane.suspects.borrow_mut().answered(self.call.plane.now(), fingerprint);
+        self.call.plane.suspects.borrow_mut().record_answer(self.call.plane.now(), fingerprint);
         self.call.trace.borrow_mut().answered(&backend.id, reply.status);
         self.call.service.state.borrow_mut().hedges.observe(latency);
         if let Some(count) = number(&reply.headers, ATTEMPT_HEADER) {
--- a/crates/galenapath-entry/src/data/entries.rs
+++ b/crates/galenapath-entry/src/data/entries.rs
@@ -90,7 +90,7 @@
     chosen
         .into_iter()
         .map(|member| EntryBody {
-            key_prefix: filings.prefix_of(plane.now(), member.incarnation),
+            key_prefix: filings.key_prefix_for(plane.now(), member.incarnation),
             address: member.callers.to_string(),
             domain: member.domain.0.to_string(),
             instance: member.id.0,
--- a/crates/galenapath-entry/src/data/filing.rs
+++ b/crates/galenapath-entry/src/data/filing.rs
@@ -12,7 +12,9 @@
 use super::request::RequestMeta;
 use super::{filing_wait, forward, headers, refusal, relay};
 use bytes::Bytes;
-use galenapath_filings::{Admit, AfterAttempt, Answer, AttemptEnd, End, FilingKey, RecordId};
+use galenapath_filings::{
+    AfterAttempt, Answer, AttemptEnd, FilingDecision, FilingEnd, FilingKey, RecordId,
+};
 use galenapath_http::{HttpError, RequestHead};
 use galenapath_policy::Outcome;
 use galenapath_protocol::{Micros, REQUEST_ID_HEADER, VERDICT_HEADER, Verdict};
@@ -38,12 +40,14 @@
     match admit {
         // Once dispatched, a filing runs to its end even when the caller goes away: its outcome is
         // what a resend asks for.
-        Admit::Run(id) => {
+        FilingDecision::Run(id) => {
             let ended = run(call, &req, id).await;
             finish(call, caller, ended).await
         }
-        Admit::Replay(answer) => replay(call, caller, &answer).await,
-        Admit::Forward(incarnation) => forward::serve(call, caller, &req, incarnation).await,
+        FilingDecision::Replay(answer) => replay(call, caller, &answer).await,
+        FilingDecision::Forward(incarnation) => {
+            forward::serve(call, caller, &req, incarnation).await
+        }
         other => call.refuse(caller, &refusal_of(&other)).await,
     }
 }
@@ -59,19 +63,19 @@
     FilingKey::parse(&meta.workspace, text).map_err(|e| bad(&e.to_string()))
 }
 
-fn count(plane: &DataPlane, admit: &Admit) {
+fn count(plane: &DataPlane, admit: &FilingDecision) {
     let decision = match admit {
-        Admit::Run(_) => "run",
-        Admit::InProgress(_) => "in_progress",
-        Admit::Replay(_) => "replayed",
-        Admit::AnsweredNotKept { .. } => "answer_not_kept",
-        Admit::MayHaveRun => "may_have_run",
-        Admit::Mismatch => "mismatch",
-        Admit::Full { .. } => "full",
-        Admit::Forward(_) => "forwarded",
-        Admit::Claim(_) => "claim",
-        Admit::Unclaimed { .. } => "unclaimed",
-        Admit::Expired => "expired",
+        FilingDecision::Run(_) => "run",
+        FilingDecision::InProgress(_) => "in_progress",
+        FilingDecision::Replay(_) => "replayed",
+        FilingDecision::AnsweredNotKept { .. } => "answer_not_kept",
+        FilingDecision::MayHaveRun => "may_have_run",
+        FilingDecision::Mismatch => "mismatch",
+        FilingDecision::Full { .. } => "full",
+        FilingDecision::Forward(_) => "forwarded",
+        FilingDecision::Claim(_) => "claim",
+        FilingDecision::Unclaimed { .. } => "unclaimed",
+        FilingDecision::Expired => "expired",
     };
     plane.shared.metrics.filings.with_label_values(&[decision]).inc();
     let records = i64::try_from(plane.filings.borrow().len()).unwrap_or(i64::MAX);
@@ -79,23 +83,23 @@
 }
 
 /// The answer to a filing that is not dispatched.
-fn refusal_of(admit: &Admit) -> OwnAnswer {
+fn refusal_of(admit: &FilingDecision) -> OwnAnswer {
     let may_have = |reason, text| {
         OwnAnswer::may_have_run(StatusCode::CONFLICT, reason, text).retry_after(ASK_AGAIN)
     };
     match admit {
-        Admit::Mismatch => OwnAnswer::not_run(
+        FilingDecision::Mismatch => OwnAnswer::not_run(
             StatusCode::UNPROCESSABLE_ENTITY,
             "key_mismatch",
             "the idempotency key was used for another request; use a new key",
         ),
-        Admit::Full { retry_after } => OwnAnswer::not_run(
+        FilingDecision::Full { retry_after } => OwnAnswer::not_run(
             StatusCode::SERVICE_UNAVAILABLE,
             "filings_full",
             "no new filings are taken now",
         )
         .retry_after(*retry_after),
-        Admit::AnsweredNotKept { status } => OwnAnswer {
+        FilingDecision::AnsweredNotKept { status } => OwnAnswer {
             verdict: Verdict::Answered,
             ..OwnAnswer::not_run(
                 StatusCode::CONFLICT,
@@ -106,16 +110,16 @@
                 ),
             )
         },
-        Admit::Unclaimed { retry_after } => may_have(
+        FilingDecision::Unclaimed { retry_after } => may_have(
             "unclaimed",
             "the key cannot be checked now; send the filing again with the same key",
         )
         .retry_after(*retry_after),
-        Admit::InProgress(_) => may_have(
+        FilingDecision::InProgress(_) => may_have(
             "in_progress",
             "the filing is still running; send it again with the same key for its answer",
         ),
-        Admit::Expired => may_have(
+        FilingDecision::Expired => may_have(
             "key_expired",
             "nothing is known of this key any more; the filing may have run",
         ),
@@ -176,7 +180,7 @@
         let Some(slot) = dispatch.choose() else { return Tried::NotRun(None) };
         let mut was_sent = false;
         let before_send = || {
-            was_sent = plane.filings.borrow_mut().sent(plane.now(), id).is_ok();
+            was_sent = plane.filings.borrow_mut().mark_sent(plane.now(), id).is_ok();
             was_sent
         };
         let result = dispatch.attempt(permit, slot, before_send).await;
@@ -186,11 +190,11 @@
             Err(fault) => fault,
         };
         let end = match &fault {
-            Fault::Shed => AttemptEnd::Refused,
+            Fault::Shed => AttemptEnd::Rejected,
             _ if !was_sent => AttemptEnd::NothingSent,
             _ => AttemptEnd::Lost,
         };
-        match plane.filings.borrow_mut().attempt_ended(plane.now(), id, end) {
+        match plane.filings.borrow_mut().record_attempt_end(plane.now(), id, end) {
             AfterAttempt::NotRun => {}
             AfterAttempt::MayHaveRun | AfterAttempt::Answered => {
                 return Tried::MayHaveRun(fault);
@@ -213,12 +217,12 @@
 impl OpenRecord<'_> {
     /// Resolves as not run and returns the answer with the verdict that may be told.
     fn not_run(mut self, answer: OwnAnswer) -> OwnAnswer {
-        let verdict = self.resolve(End::NotRun);
+        let verdict = self.resolve(FilingEnd::NotRun);
         OwnAnswer { verdict, ..answer }
     }
 
     fn may_have_run(mut self, answer: OwnAnswer) -> OwnAnswer {
-        let verdict = self.resolve(End::MayHaveRun);
+        let verdict = self.resolve(FilingEnd::MayHaveRun);
         OwnAnswer { verdict, ..answer }
     }
 
@@ -237,10 +241,14 @@
         } else {
             reply.start.clone()
         };
-        self.resolve(End::Answered(Answer { status: reply.status.as_u16(), headers: kept, body }));
+        self.resolve(FilingEnd::Answered(Answer {
+            status: reply.status.as_u16(),
+            headers: kept,
+            body,
+        }));
     }
 
-    fn resolve(&mut self, end: End) -> Verdict {
+    fn resolve(&mut self, end: FilingEnd) -> Verdict {
         self.is_resolved = true;
         let verdict = self.plane.filings.borrow_mut().resolve(self.plane.now(), self.id, end);
         filing_wait::wake(self.plane, self.id);
@@ -251,7 +259,7 @@
 impl Drop for OpenRecord<'_> {
     fn drop(&mut self) {
         if !self.is_resolved {
-            self.resolve(End::NotRun);
+            self.resolve(FilingEnd::NotRun);
         }
     }
 }
--- a/crates/galenapath-entry/src/data/filing_wait.rs
+++ b/crates/galenapath-entry/src/data/filing_wait.rs
@@ -6,7 +6,7 @@
 use super::request::RequestMeta;
 use crate::shared::{ClaimRequest, ControlEvent};
 use futures::channel::oneshot;
-use galenapath_filings::{Admit, ClaimId, ClaimResult, FilingKey, RecordId};
+use galenapath_filings::{ClaimId, ClaimResult, FilingDecision, FilingKey, RecordId};
 use std::time::Duration;
 
 /// Longest wait of a resend for the filing that is running.
@@ -21,20 +21,20 @@
     meta: &RequestMeta,
     key: &FilingKey,
     req: &Prepared,
-) -> Admit {
+) -> FilingDecision {
     let mut admit = plane.filings.borrow_mut().admit(plane.now(), key, req.fingerprint);
     // One wait for a running filing, one claim, and the look after each.
     for _ in 0..3 {
         admit = match admit {
-            Admit::InProgress(id) => {
+            FilingDecision::InProgress(id) => {
                 if !wait(plane, meta, id).await {
                     return admit;
                 }
                 plane.filings.borrow_mut().admit(plane.now(), key, req.fingerprint)
             }
-            Admit::Claim(claim) => {
+            FilingDecision::Claim(claim) => {
                 let result = ask_store(plane, key, claim).await;
-                plane.filings.borrow_mut().claim_result(plane.now(), claim, result)
+                plane.filings.borrow_mut().apply_claim_result(plane.now(), claim, result)
             }
             other => return other,
         };
@@ -74,7 +74,7 @@
         path: key.claim_path(),
         claim,
         lease: plane.filings.borrow().claim_lease(),
-        lease_use: plane.filings.borrow().claim_lease_use(),
+        lease_use: plane.filings.borrow().claim_lease_max_use(),
         reply,
     };
     if plane.events.try_send(ControlEvent::Claim(request)).is_err() {
--- a/crates/galenapath-entry/src/data/refusal.rs
+++ b/crates/galenapath-entry/src/data/refusal.rs
@@ -62,8 +62,8 @@
 /// The answer to a request that is suspected of crashing the backend servers that run it.
 pub(super) fn suspect(verdict: SuspectVerdict) -> OwnAnswer {
     let retry_after = match verdict {
-        SuspectVerdict::Refuse { retry_after } => retry_after,
-        SuspectVerdict::Clear | SuspectVerdict::RunAlone => NO_BACKEND_RETRY,
+        SuspectVerdict::Reject { retry_after } => retry_after,
+        SuspectVerdict::Clear | SuspectVerdict::RunIsolated => NO_BACKEND_RETRY,
     };
     OwnAnswer::not_run(
         StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/galenapath-entry/src/shared.rs
+++ b/crates/galenapath-entry/src/shared.rs
@@ -5,7 +5,7 @@
 use crate::metrics::Metrics;
 use arc_swap::ArcSwap;
 use galenapath_config::Config;
-use galenapath_filings::{ClaimId, ClaimResult, SuspectWire};
+use galenapath_filings::{ClaimId, ClaimResult, SuspectReport};
 use galenapath_membership::{LeavingMark, Member};
 use galenapath_protocol::{Incarnation, InstanceId, Micros};
 use galenapath_settings::Settings;
@@ -134,7 +134,7 @@
 /// A crash that the data thread saw.
 pub struct CrashNote {
     /// What is known of suspects after it.
-    pub facts: Vec<SuspectWire>,
+    pub facts: Vec<SuspectReport>,
     /// Gets a message when every peer that answers has heard.
     pub told: flume::Sender<()>,
 }
--- a/crates/galenapath-filings/examples/capacity.rs
+++ b/crates/galenapath-filings/examples/capacity.rs
@@ -6,7 +6,8 @@
 
 use bytes::Bytes;
 use galenapath_filings::{
-    Admit, Answer, End, FilingConfig, FilingKey, FilingTable, Fingerprint, SuspectConfig, Suspects,
+    Answer, FilingConfig, FilingDecision, FilingEnd, FilingKey, FilingTable, Fingerprint,
+    SuspectConfig, Suspects,
 };
 use galenapath_protocol::{Incarnation, Micros};
 use std::time::Instant;
@@ -33,7 +34,7 @@
 }
 
 fn keys(table: &mut FilingTable, n: usize) -> Vec<FilingKey> {
-    let prefix = table.prefix(NOW);
+    let prefix = table.key_prefix(NOW);
     (0..n).map(|n| FilingKey::try_from(format!("{prefix}{n:032}").as_str()).unwrap()).collect()
 }
 
@@ -42,11 +43,13 @@
     let before = resident();
     let start = Instant::now();
     for (n, key) in keys.iter().enumerate() {
-        let Admit::Run(id) = table.admit(NOW, key, Fingerprint(n as u128)) else { panic!("full") };
-        table.sent(NOW, id).unwrap();
+        let FilingDecision::Run(id) = table.admit(NOW, key, Fingerprint(n as u128)) else {
+            panic!("full")
+        };
+        table.mark_sent(NOW, id).unwrap();
         match answer_bytes {
-            0 => table.resolve(NOW, id, End::MayHaveRun),
-            _ => table.resolve(NOW, id, End::Answered(answer(&body))),
+            0 => table.resolve(NOW, id, FilingEnd::MayHaveRun),
+            _ => table.resolve(NOW, id, FilingEnd::Answered(answer(&body))),
         };
     }
     report("admit, sent and resolve", start, keys.len());
@@ -65,7 +68,7 @@
     let start = Instant::now();
     let known = keys.iter().enumerate().filter(|(n, key)| {
         let admit = table.admit(NOW, key, Fingerprint(*n as u128));
-        matches!(admit, Admit::Replay(_) | Admit::MayHaveRun)
+        matches!(admit, FilingDecision::Replay(_) | FilingDecision::MayHaveRun)
     });
     assert_eq!(known.count(), keys.len());
     report("admit of a resend", start, keys.len());
@@ -90,12 +93,12 @@
     let many: Vec<_> = (0..64).map(Fingerprint).collect();
     let start = Instant::now();
     for backend in 0..32 {
-        suspects.crashed(NOW, backend, &many);
+        suspects.record_crash(NOW, backend, &many);
     }
     report("crash of 64 requests", start, 32);
     let start = Instant::now();
     let judged = (0..1_000_000).filter(|n| {
-        suspects.judge(NOW, Fingerprint(*n)) != galenapath_filings::SuspectVerdict::Clear
+        suspects.check(NOW, Fingerprint(*n)) != galenapath_filings::SuspectVerdict::Clear
     });
     println!("suspects found: {}", judged.count());
     report("judge", start, 1_000_000);
--- a/crates/galenapath-filings/src/adopted.rs
+++ b/crates/galenapath-filings/src/adopted.rs
@@ -4,7 +4,7 @@
 //! by a successor.
 
 use crate::store::RECORD_COST;
-use crate::{Admit, Answer, Fingerprint, KeyId};
+use crate::{Answer, FilingDecision, Fingerprint, KeyId};
 use galenapath_protocol::{Incarnation, Micros};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,18 +12,18 @@
 /// A known outcome of a key, as the stopping instance hands it over. Keys without a known outcome
 /// are not handed over: the successor answers "may have run" for them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct HandOver {
+pub struct HandOverEntry {
     /// The key.
     pub key: KeyId,
     /// The request that the key is bound to.
     pub fp: Fingerprint,
     /// How it ended.
-    pub outcome: HandedOutcome,
+    pub outcome: HandOverOutcome,
 }
 
 /// An outcome that is handed over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum HandedOutcome {
+pub enum HandOverOutcome {
     /// The whole answer.
     Answered(Arc<Answer>),
     /// Only the answer's status.
@@ -33,10 +33,10 @@
     },
 }
 
-impl HandOver {
+impl HandOverEntry {
     /// Splits outcomes into parts of at most `max_bytes` by [`bytes`](Self::bytes), in their order;
     /// one that is larger makes a part of its own. A successor takes parts over one by one.
-    pub fn parts(outcomes: Vec<Self>, max_bytes: usize) -> Vec<Vec<Self>> {
+    pub fn split(outcomes: Vec<Self>, max_bytes: usize) -> Vec<Vec<Self>> {
         let mut parts: Vec<Vec<Self>> = Vec::new();
         let mut used = 0;
         for outcome in outcomes {
@@ -56,8 +56,8 @@
     /// Bytes that the outcome takes at its successor; a message needs more by its coding.
     pub fn bytes(&self) -> usize {
         match &self.outcome {
-            HandedOutcome::Answered(answer) => RECORD_COST + answer.bytes(),
-            HandedOutcome::AnswerDropped { .. } => RECORD_COST,
+            HandOverOutcome::Answered(answer) => RECORD_COST + answer.bytes(),
+            HandOverOutcome::AnswerDropped { .. } => RECORD_COST,
         }
     }
 }
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Estate {
     until: Micros,
-    records: BTreeMap<KeyId, (Fingerprint, HandedOutcome)>,
+    records: BTreeMap<KeyId, (Fingerprint, HandOverOutcome)>,
     bytes: usize,
 }
 
@@ -88,7 +88,7 @@
         &mut self,
         from: Incarnation,
         until: Micros,
-        records: Vec<HandOver>,
+        records: Vec<HandOverEntry>,
         max_bytes: usize,
     ) {
         let estate = self.estates.entry(from).or_default();
@@ -113,24 +113,31 @@
     }
 
     /// The answer for a key of a stopped incarnation; `None` if it was not taken over.
-    pub(crate) fn admit(&self, from: Incarnation, key: KeyId, fp: Fingerprint) -> Option<Admit> {
+    pub(crate) fn admit(
+        &self,
+        from: Incarnation,
+        key: KeyId,
+        fp: Fingerprint,
+    ) -> Option<FilingDecision> {
         let estate = self.estates.get(&from)?;
-        Some(estate.records.get(&key).map_or(Admit::MayHaveRun, |found| replay(found, fp)))
+        Some(estate.records.get(&key).map_or(FilingDecision::MayHaveRun, |found| replay(found, fp)))
     }
 
     /// The answer for a caller's own key, whichever incarnation it was bound to.
-    pub(crate) fn admit_own(&self, key: KeyId, fp: Fingerprint) -> Option<Admit> {
+    pub(crate) fn admit_own(&self, key: KeyId, fp: Fingerprint) -> Option<FilingDecision> {
         let mut estates = self.estates.values();
         estates.find_map(|estate| estate.records.get(&key)).map(|found| replay(found, fp))
     }
 }
 
-fn replay((bound, outcome): &(Fingerprint, HandedOutcome), fp: Fingerprint) -> Admit {
+fn replay((bound, outcome): &(Fingerprint, HandOverOutcome), fp: Fingerprint) -> FilingDecision {
     if *bound != fp {
-        return Admit::Mismatch;
+        return FilingDecision::Mismatch;
     }
     match outcome {
-        HandedOutcome::Answered(answer) => Admit::Replay(Arc::clone(answer)),
-        HandedOutcome::AnswerDropped { status } => Admit::AnsweredNotKept { status: *status },
+        HandOverOutcome::Answered(answer) => FilingDecision::Replay(Arc::clone(answer)),
+        HandOverOutcome::AnswerDropped { status } => {
+            FilingDecision::AnsweredNotKept { status: *status }
+        }
     }
 }
--- a/crates/galenapath-filings/src/lib.rs
+++ b/crates/galenapath-filings/src/lib.rs
@@ -17,14 +17,14 @@
 mod suspects;
 mod table;
 
-pub use adopted::{HandOver, HandedOutcome};
+pub use adopted::{HandOverEntry, HandOverOutcome};
 pub use answer::Answer;
 pub use claim::{ClaimId, ClaimResult};
 pub use config::FilingConfig;
 pub use fingerprint::Fingerprint;
 pub use guards::Guards;
 pub use key::{FilingKey, KeyId, KeyKind, ParseKeyError};
-pub use record::{AfterAttempt, AttemptEnd, End, RecordGone, RecordId};
+pub use record::{AfterAttempt, AttemptEnd, FilingEnd, RecordGone, RecordId};
 pub use route::successors;
-pub use suspects::{SuspectConfig, SuspectVerdict, SuspectWire, Suspects};
-pub use table::{Admit, FilingTable};
+pub use suspects::{SuspectConfig, SuspectReport, SuspectVerdict, Suspects};
+pub use table::{FilingDecision, FilingTable};
--- a/crates/galenapath-filings/src/record.rs
+++ b/crates/galenapath-filings/src/record.rs
@@ -15,7 +15,7 @@
 
 /// How a filing ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum End {
+pub enum FilingEnd {
     /// No backend server ran it: no byte was sent, or the server itself refused it.
     NotRun,
     /// Bytes may have reached a backend server and its answer is not known.
@@ -30,7 +30,7 @@
     /// No byte left the instance.
     NothingSent,
     /// The backend server answered that it did not run the request.
-    Refused,
+    Rejected,
     /// Bytes left and no complete answer came.
     Lost,
     /// A complete answer came.
--- a/crates/galenapath-filings/src/suspects/list.rs
+++ b/crates/galenapath-filings/src/suspects/list.rs
@@ -2,7 +2,7 @@
 
 use super::crash::Crash;
 use super::standing::{Blame, Standing, standings};
-use super::wire::SuspectWire;
+use super::wire::SuspectReport;
 use crate::Fingerprint;
 use galenapath_protocol::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -40,9 +40,9 @@
     /// Nothing is held against it.
     Clear,
     /// It was in flight in a crash: run it on a backend server with nothing else in flight.
-    RunAlone,
+    RunIsolated,
     /// It crashes backend servers, or a trial of it is running: not run.
-    Refuse {
+    Reject {
         /// Span after which it is looked at again.
         retry_after: Micros,
     },
@@ -70,7 +70,7 @@
     }
 
     /// What to do with the request `fp`.
-    pub fn judge(&self, now: Micros, fp: Fingerprint) -> SuspectVerdict {
+    pub fn check(&self, now: Micros, fp: Fingerprint) -> SuspectVerdict {
         let Some(standing) = self.standings.get(&fp).filter(|s| self.fresh(now, s.last)) else {
             return SuspectVerdict::Clear;
         };
@@ -78,45 +78,45 @@
             Blame::Bystander => return SuspectVerdict::Clear,
             Blame::Culprit => {
                 let retry_after = standing.last + self.cfg.lifetime - now;
-                return SuspectVerdict::Refuse { retry_after };
+                return SuspectVerdict::Reject { retry_after };
             }
             Blame::Suspect => {}
         }
         if self.trials.contains(&fp) {
-            return SuspectVerdict::Refuse { retry_after: self.cfg.trial_retry_after };
+            return SuspectVerdict::Reject { retry_after: self.cfg.trial_retry_after };
         }
-        SuspectVerdict::RunAlone
+        SuspectVerdict::RunIsolated
     }
 
     /// A suspect starts to run alone; a second one of the same request waits for its end. Peers are
     /// not told: see the bound in the specification.
-    pub fn trial_started(&mut self, fp: Fingerprint) {
+    pub fn begin_isolated_run(&mut self, fp: Fingerprint) {
         self.trials.insert(fp);
     }
 
     /// The trial is over, however it ended.
-    pub fn trial_ended(&mut self, fp: Fingerprint) {
+    pub fn end_isolated_run(&mut self, fp: Fingerprint) {
         self.trials.remove(&fp);
     }
 
     /// A backend server crashed: its connections broke with these requests in flight.
-    pub fn crashed(&mut self, now: Micros, backend: u64, in_flight: &[Fingerprint]) {
+    pub fn record_crash(&mut self, now: Micros, backend: u64, in_flight: &[Fingerprint]) {
         self.add(now, backend, now, in_flight);
     }
 
     /// A request was answered completely, so it does not crash the server that runs it.
-    pub fn answered(&mut self, now: Micros, fp: Fingerprint) {
+    pub fn record_answer(&mut self, now: Micros, fp: Fingerprint) {
         if self.standings.contains_key(&fp) {
             self.clear(now, fp, now);
         }
     }
 
     /// Takes in what a peer knows. Merging is idempotent and does not depend on order.
-    pub fn merge(&mut self, now: Micros, facts: &[SuspectWire]) {
+    pub fn merge(&mut self, now: Micros, facts: &[SuspectReport]) {
         for fact in facts {
             match fact {
-                SuspectWire::Answered { fp, age_ms } => self.clear(now, *fp, then(now, *age_ms)),
-                SuspectWire::Crash { backend, age_ms, members } => {
+                SuspectReport::Answered { fp, age_ms } => self.clear(now, *fp, then(now, *age_ms)),
+                SuspectReport::Crash { backend, age_ms, members } => {
                     self.add(now, *backend, then(now, *age_ms), members);
                 }
             }
@@ -124,15 +124,15 @@
     }
 
     /// What this instance knows, for its peers.
-    pub fn export(&self, now: Micros) -> Vec<SuspectWire> {
-        let crashes = self.live(now).map(|crash| SuspectWire::Crash {
+    pub fn export(&self, now: Micros) -> Vec<SuspectReport> {
+        let crashes = self.live(now).map(|crash| SuspectReport::Crash {
             backend: crash.backend,
             age_ms: age_ms(now, crash.at),
             members: crash.members.clone(),
         });
         let fresh = self.answered.iter().filter(|(_, at)| self.fresh(now, **at));
         let answered =
-            fresh.map(|(fp, at)| SuspectWire::Answered { fp: *fp, age_ms: age_ms(now, *at) });
+            fresh.map(|(fp, at)| SuspectReport::Answered { fp: *fp, age_ms: age_ms(now, *at) });
         crashes.chain(answered).collect()
     }
 
--- a/crates/galenapath-filings/src/suspects/mod.rs
+++ b/crates/galenapath-filings/src/suspects/mod.rs
@@ -11,4 +11,4 @@
 mod wire;
 
 pub use list::{SuspectConfig, SuspectVerdict, Suspects};
-pub use wire::SuspectWire;
+pub use wire::SuspectReport;
--- a/crates/galenapath-filings/src/suspects/wire.rs
+++ b/crates/galenapath-filings/src/suspects/wire.rs
@@ -4,7 +4,7 @@
 
 /// One fact about suspects. Ages instead of times, since instances share no clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum SuspectWire {
+pub enum SuspectReport {
     /// A backend server crashed with these requests in flight.
     Crash {
         /// Hash of the backend server's name.
--- a/crates/galenapath-filings/src/table.rs
+++ b/crates/galenapath-filings/src/table.rs
@@ -11,13 +11,13 @@
 use crate::adopted::Adopted;
 use crate::claim::{ClaimBudget, PendingClaim};
 use crate::key::prefix_text;
-use crate::record::{AfterAttempt, AttemptEnd, End, Record, RecordGone, State};
+use crate::record::{AfterAttempt, AttemptEnd, FilingEnd, Record, RecordGone, State};
 use crate::store::Records;
-use crate::{ClaimId, FilingConfig, Guards, HandOver, HandedOutcome, RecordId};
+use crate::{ClaimId, FilingConfig, Guards, HandOverEntry, HandOverOutcome, RecordId};
 use galenapath_protocol::{Incarnation, Micros, Verdict};
 use std::collections::BTreeMap;
 
-pub use admit::Admit;
+pub use admit::FilingDecision;
 
 /// Windows ahead of the current one whose keys are admitted: the clock of the instance that issued
 /// the key may be ahead.
@@ -66,7 +66,7 @@
     }
 
     /// The current key prefix, for the address answer.
-    pub fn prefix(&mut self, now: Micros) -> String {
+    pub fn key_prefix(&mut self, now: Micros) -> String {
         self.expire(now);
         prefix_text(self.incarnation, self.window())
     }
@@ -76,7 +76,7 @@
     /// Instances that issue for each other count time from one origin, such as the Unix epoch at
     /// their start. Clocks that disagree by more than a key window cost availability only: the
     /// owner refuses keys of windows that it does not know yet, and those below its own floor.
-    pub fn prefix_of(&mut self, now: Micros, incarnation: Incarnation) -> String {
+    pub fn key_prefix_for(&mut self, now: Micros, incarnation: Incarnation) -> String {
         self.expire(now);
         prefix_text(incarnation, self.window())
     }
@@ -84,7 +84,7 @@
     /// Marks that the first byte of an attempt may leave now. Must be called right before it does,
     /// with the time read right before; on an error nothing may be sent and the caller is told
     /// what a fresh [`admit`](Self::admit) says.
-    pub fn sent(&mut self, now: Micros, id: RecordId) -> Result<(), RecordGone> {
+    pub fn mark_sent(&mut self, now: Micros, id: RecordId) -> Result<(), RecordGone> {
         self.expire(now);
         if !self.guards.sent_checked {
             return Ok(());
@@ -99,11 +99,16 @@
 
     /// Tells what may follow an attempt. The record is open for another attempt only after
     /// [`AfterAttempt::NotRun`].
-    pub fn attempt_ended(&mut self, now: Micros, id: RecordId, end: AttemptEnd) -> AfterAttempt {
+    pub fn record_attempt_end(
+        &mut self,
+        now: Micros,
+        id: RecordId,
+        end: AttemptEnd,
+    ) -> AfterAttempt {
         self.expire(now);
         let not_run = match end {
             AttemptEnd::Answered => return AfterAttempt::Answered,
-            AttemptEnd::NothingSent | AttemptEnd::Refused => true,
+            AttemptEnd::NothingSent | AttemptEnd::Rejected => true,
             AttemptEnd::Lost => !self.guards.lost_is_final,
         };
         if !not_run {
@@ -122,15 +127,15 @@
     /// "Not run" is taken back to "may have run" when bytes may have left and
     /// [`attempt_ended`](Self::attempt_ended) was not told otherwise. After "not run" a resend of
     /// the key may run. An answer that comes after "may have run" is kept for resends.
-    pub fn resolve(&mut self, now: Micros, id: RecordId, end: End) -> Verdict {
+    pub fn resolve(&mut self, now: Micros, id: RecordId, end: FilingEnd) -> Verdict {
         self.expire(now);
         match end {
-            End::NotRun => self.resolve_not_run(id),
-            End::MayHaveRun => {
+            FilingEnd::NotRun => self.resolve_not_run(id),
+            FilingEnd::MayHaveRun => {
                 self.close(id);
                 Verdict::MayHaveRun
             }
-            End::Answered(answer) => {
+            FilingEnd::Answered(answer) => {
                 let (max_answer, max) = (self.cfg.max_answer_bytes, self.cfg.max_bytes);
                 self.records.keep(id, answer, max_answer, max);
                 Verdict::Answered
@@ -147,26 +152,26 @@
     /// when the last filing has ended, since a successor answers "may have run" for the others. It
     /// may be called again for those that ended since. Newest windows come first, since a successor
     /// takes over no more than it has room for.
-    pub fn hand_over(&mut self) -> Vec<HandOver> {
+    pub fn hand_over(&mut self) -> Vec<HandOverEntry> {
         self.begin_stop();
         self.records
             .iter()
             .filter_map(|(key, record)| {
                 let outcome = match &record.state {
-                    State::Answered(answer) => HandedOutcome::Answered(answer.clone()),
+                    State::Answered(answer) => HandOverOutcome::Answered(answer.clone()),
                     State::AnswerDropped { status } => {
-                        HandedOutcome::AnswerDropped { status: *status }
+                        HandOverOutcome::AnswerDropped { status: *status }
                     }
                     _ => return None,
                 };
-                Some(HandOver { key, fp: record.fp, outcome })
+                Some(HandOverEntry { key, fp: record.fp, outcome })
             })
             .collect()
     }
 
     /// Takes over the outcomes of `from`, which has stopped as planned. Keys of `from` without an
     /// outcome are "may have run" here; none is dispatched.
-    pub fn adopt(&mut self, now: Micros, from: Incarnation, records: Vec<HandOver>) {
+    pub fn apply_hand_over(&mut self, now: Micros, from: Incarnation, records: Vec<HandOverEntry>) {
         self.expire(now);
         let until = self.now + self.cfg.window + self.cfg.lifetime;
         self.adopted.add(from, until, records, self.cfg.max_adopted_bytes);
--- a/crates/galenapath-filings/src/table/admit.rs
+++ b/crates/galenapath-filings/src/table/admit.rs
@@ -8,7 +8,7 @@
 
 /// What to do with a filing that has come in.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Admit {
+pub enum FilingDecision {
     /// Dispatch it: a record is made, and whoever got this must resolve it.
     Run(RecordId),
     /// The same filing is in progress under this record. Wait for its end and admit again, or tell
@@ -48,7 +48,7 @@
 
 impl FilingTable {
     /// Admits a filing with its key and the fingerprint of its request.
-    pub fn admit(&mut self, now: Micros, key: &FilingKey, fp: Fingerprint) -> Admit {
+    pub fn admit(&mut self, now: Micros, key: &FilingKey, fp: Fingerprint) -> FilingDecision {
         self.expire(now);
         match key.kind() {
             KeyKind::Own => self.admit_own(key.id(), fp),
@@ -57,7 +57,7 @@
             }
             KeyKind::Issued { incarnation, window } => {
                 match self.admit_elsewhere(incarnation, key.id(), fp) {
-                    Admit::MayHaveRun if !self.guards.successor_replays_only => {
+                    FilingDecision::MayHaveRun if !self.guards.successor_replays_only => {
                         self.admit_issued(key.id(), window, fp)
                     }
                     admit => admit,
@@ -70,44 +70,49 @@
         incarnation == self.incarnation || !self.guards.incarnation_binds
     }
 
-    fn admit_issued(&mut self, key: KeyId, window: u32, fp: Fingerprint) -> Admit {
+    fn admit_issued(&mut self, key: KeyId, window: u32, fp: Fingerprint) -> FilingDecision {
         let floor = self.records.floor();
         let expired = window < floor && self.guards.expired_refused;
         if expired || window > self.window().saturating_add(EARLY_WINDOWS) {
-            return Admit::Expired;
+            return FilingDecision::Expired;
         }
         let window = window.max(floor);
         if let Some(id) = self.records.find(window, key) {
             return self.admit_known(id, fp);
         }
         if self.stopping {
-            return Admit::Full { retry_after: self.cfg.retry_after };
+            return FilingDecision::Full { retry_after: self.cfg.retry_after };
         }
         match self.open(window, key, fp, State::Admitted, false) {
-            Some(id) => Admit::Run(id),
-            None => Admit::Full { retry_after: self.room_after() },
+            Some(id) => FilingDecision::Run(id),
+            None => FilingDecision::Full { retry_after: self.room_after() },
         }
     }
 
     /// A key that another incarnation dispatches.
-    pub(super) fn admit_elsewhere(&self, to: Incarnation, key: KeyId, fp: Fingerprint) -> Admit {
-        self.adopted.admit(to, key, fp).unwrap_or(Admit::Forward(to))
+    pub(super) fn admit_elsewhere(
+        &self,
+        to: Incarnation,
+        key: KeyId,
+        fp: Fingerprint,
+    ) -> FilingDecision {
+        self.adopted.admit(to, key, fp).unwrap_or(FilingDecision::Forward(to))
     }
 
     /// A key that has a record here.
-    pub(super) fn admit_known(&mut self, id: RecordId, fp: Fingerprint) -> Admit {
-        let Some(record) = self.records.get_mut(id) else { return Admit::MayHaveRun };
+    pub(super) fn admit_known(&mut self, id: RecordId, fp: Fingerprint) -> FilingDecision {
+        let Some(record) = self.records.get_mut(id) else { return FilingDecision::MayHaveRun };
         let bound = record.binds_fingerprint() || !self.guards.unclaimed_unbound;
         if bound && record.fp != fp && self.guards.fingerprint_checked {
-            return Admit::Mismatch;
+            return FilingDecision::Mismatch;
         }
         match &record.state {
             State::Admitted | State::Sent if !self.guards.record_first => self.run_again(id, fp),
-            State::Admitted | State::Sent => Admit::InProgress(id),
+            State::Admitted | State::Sent => FilingDecision::InProgress(id),
             State::Claiming { first, latest } => {
                 let (first, latest) = (*first, *latest);
                 match self.is_awaited(latest) {
-                    true => Admit::InProgress(id),
+                    true => FilingDecision::InProgress(id),
                     false => self.reclaim(id, first, fp),
                 }
             }
@@ -116,24 +121,24 @@
                 self.reclaim(id, first, fp)
             }
             State::Ready => self.run_again(id, fp),
-            State::MayHaveRun => Admit::MayHaveRun,
-            State::Answered(answer) => Admit::Replay(Arc::clone(answer)),
-            State::AnswerDropped { status } => Admit::AnsweredNotKept { status: *status },
+            State::MayHaveRun => FilingDecision::MayHaveRun,
+            State::Answered(answer) => FilingDecision::Replay(Arc::clone(answer)),
+            State::AnswerDropped { status } => FilingDecision::AnsweredNotKept { status: *status },
         }
     }
 
     /// Runs a claimed key that did not run, under a new sequence number: the holder of the old id
     /// can do nothing with it.
-    fn run_again(&mut self, id: RecordId, fp: Fingerprint) -> Admit {
+    fn run_again(&mut self, id: RecordId, fp: Fingerprint) -> FilingDecision {
         if self.stopping {
-            return Admit::Full { retry_after: self.cfg.retry_after };
+            return FilingDecision::Full { retry_after: self.cfg.retry_after };
         }
         let seq = self.records.next_seq();
-        let Some(record) = self.records.get_mut(id) else { return Admit::MayHaveRun };
+        let Some(record) = self.records.get_mut(id) else { return FilingDecision::MayHaveRun };
         record.seq = seq;
         record.fp = fp;
         record.state = State::Admitted;
-        Admit::Run(RecordId { seq, ..id })
+        FilingDecision::Run(RecordId { seq, ..id })
     }
 
     /// Makes a record; `None` if there is no room.
--- a/crates/galenapath-filings/src/table/claims.rs
+++ b/crates/galenapath-filings/src/table/claims.rs
@@ -3,7 +3,7 @@
 use super::FilingTable;
 use crate::claim::PendingClaim;
 use crate::record::State;
-use crate::{Admit, ClaimId, ClaimResult, Fingerprint, KeyId, RecordId};
+use crate::{ClaimId, ClaimResult, FilingDecision, Fingerprint, KeyId, RecordId};
 use galenapath_protocol::{Incarnation, Micros};
 
 impl FilingTable {
@@ -15,20 +15,27 @@
     /// Longest time for which one lease may be used for new claims. A store that lets the holder of
     /// a lease write over its own claim would else give a claim that outlived its record a new
     /// number, and the key would run again.
-    pub fn claim_lease_use(&self) -> Micros {
+    pub fn claim_lease_max_use(&self) -> Micros {
         self.cfg.lifetime
     }
 
     /// Takes the store's word on a claim. Called once for each [`Admit::Claim`].
-    pub fn claim_result(&mut self, now: Micros, claim: ClaimId, result: ClaimResult) -> Admit {
+    pub fn apply_claim_result(
+        &mut self,
+        now: Micros,
+        claim: ClaimId,
+        result: ClaimResult,
+    ) -> FilingDecision {
         self.expire(now);
-        let Some(pending) = self.pending.remove(&claim) else { return Admit::MayHaveRun };
+        let Some(pending) = self.pending.remove(&claim) else { return FilingDecision::MayHaveRun };
         let id = pending.record;
         let stale = self.is_stale(pending);
-        let Some(record) = self.records.get_mut(id) else { return Admit::MayHaveRun };
-        let State::Claiming { first, latest } = record.state else { return Admit::MayHaveRun };
+        let Some(record) = self.records.get_mut(id) else { return FilingDecision::MayHaveRun };
+        let State::Claiming { first, latest } = record.state else {
+            return FilingDecision::MayHaveRun;
+        };
         if latest != claim {
-            return Admit::MayHaveRun;
+            return FilingDecision::MayHaveRun;
         }
         let fp = record.fp;
         if stale && self.guards.stale_claim_refused {
@@ -52,7 +59,7 @@
         }
     }
 
-    pub(super) fn admit_own(&mut self, key: KeyId, fp: Fingerprint) -> Admit {
+    pub(super) fn admit_own(&mut self, key: KeyId, fp: Fingerprint) -> FilingDecision {
         if let Some(id) = self.records.find_any(key) {
             return self.admit_known(id, fp);
         }
@@ -61,7 +68,7 @@
         }
         if !self.guards.own_key_claimed {
             let id = self.open(self.window(), key, fp, State::Admitted, true);
-            return id.map_or(Admit::MayHaveRun, Admit::Run);
+            return id.map_or(FilingDecision::MayHaveRun, FilingDecision::Run);
         }
         if let Err(retry_after) = self.may_claim() {
             return self.cannot_claim(retry_after);
@@ -75,7 +82,12 @@
     }
 
     /// Claims again where an earlier claim's fate is not known.
-    pub(super) fn reclaim(&mut self, id: RecordId, first: ClaimId, fp: Fingerprint) -> Admit {
+    pub(super) fn reclaim(
+        &mut self,
+        id: RecordId,
+        first: ClaimId,
+        fp: Fingerprint,
+    ) -> FilingDecision {
         if let Err(retry_after) = self.may_claim() {
             return self.cannot_claim(retry_after);
         }
@@ -98,14 +110,14 @@
         self.now - pending.asked > self.cfg.claim_patience
     }
 
-    fn ask(&mut self, id: RecordId, claim: ClaimId) -> Admit {
+    fn ask(&mut self, id: RecordId, claim: ClaimId) -> FilingDecision {
         while let Some(oldest) = self.pending.first_entry()
             && self.now - oldest.get().asked > self.cfg.claim_patience
         {
             oldest.remove();
         }
         self.pending.insert(claim, PendingClaim { record: id, asked: self.now });
-        Admit::Claim(claim)
+        FilingDecision::Claim(claim)
     }
 
     fn may_claim(&mut self) -> Result<(), Micros> {
@@ -121,35 +133,35 @@
     }
 
     /// The store holds a claim of this record's life: the key is this incarnation's to dispatch.
-    fn claimed(&mut self, id: RecordId) -> Admit {
-        let Some(record) = self.records.get_mut(id) else { return Admit::MayHaveRun };
+    fn claimed(&mut self, id: RecordId) -> FilingDecision {
+        let Some(record) = self.records.get_mut(id) else { return FilingDecision::MayHaveRun };
         record.state = State::Admitted;
-        Admit::Run(id)
+        FilingDecision::Run(id)
     }
 
     /// The store holds a claim from before this record: its own record has expired, and it may
     /// have run. The new record goes too, since it knows no fingerprint.
-    fn outlived(&mut self, id: RecordId) -> Admit {
+    fn outlived(&mut self, id: RecordId) -> FilingDecision {
         self.records.remove(id);
-        Admit::MayHaveRun
+        FilingDecision::MayHaveRun
     }
 
-    fn lost(&mut self, id: RecordId, to: Incarnation, fp: Fingerprint) -> Admit {
+    fn lost(&mut self, id: RecordId, to: Incarnation, fp: Fingerprint) -> FilingDecision {
         self.records.remove(id);
         self.admit_elsewhere(to, id.key, fp)
     }
 
-    fn unclaimed(&mut self, id: RecordId, first: ClaimId) -> Admit {
+    fn unclaimed(&mut self, id: RecordId, first: ClaimId) -> FilingDecision {
         if let Some(record) = self.records.get_mut(id) {
             record.state = State::Unclaimed { first };
         }
         self.cannot_claim(self.cfg.retry_after)
     }
 
-    fn cannot_claim(&self, retry_after: Micros) -> Admit {
+    fn cannot_claim(&self, retry_after: Micros) -> FilingDecision {
         match self.guards.unclaimed_not_denied {
-            true => Admit::Unclaimed { retry_after },
-            false => Admit::Full { retry_after },
+            true => FilingDecision::Unclaimed { retry_after },
+            false => FilingDecision::Full { retry_after },
         }
     }
 }
--- a/crates/galenapath-filings/tests/model/step.rs
+++ b/crates/galenapath-filings/tests/model/step.rs
@@ -7,7 +7,7 @@
 use super::world::{Claim, LEASE, Request, Stage, Try, World, at, fingerprint};
 use bytes::Bytes;
 use galenapath_filings::{
-    Admit, AfterAttempt, Answer, AttemptEnd, ClaimId, ClaimResult, End, RecordId,
+    AfterAttempt, Answer, AttemptEnd, ClaimId, ClaimResult, FilingDecision, FilingEnd, RecordId,
 };
 use galenapath_protocol::{Incarnation, Verdict};
 use std::rc::Rc;
@@ -141,29 +141,29 @@
     admitted(w, place, t, admit, direct);
 }
 
-fn admitted(w: &mut World, place: usize, t: Try, admit: Admit, direct: bool) {
+fn admitted(w: &mut World, place: usize, t: Try, admit: FilingDecision, direct: bool) {
     match admit {
-        Admit::Run(id) => {
+        FilingDecision::Run(id) => {
             w.instance(place).tasks.insert((t, Stage::Admitted { id, attempt: 0 }));
         }
-        Admit::Claim(claim) => {
+        FilingDecision::Claim(claim) => {
             let write = (t.key, stored(w, place, claim, w.now));
             w.writes.insert(write);
             let asked = w.now;
             w.instance(place).tasks.insert((t, Stage::Claiming { claim, asked, direct }));
         }
-        Admit::Forward(to) if direct => {
+        FilingDecision::Forward(to) if direct => {
             w.forwards.insert((t, to));
         }
-        Admit::Replay(answer) => w.answer(t, &answer.body),
-        Admit::AnsweredNotKept { .. } => w.answer(t, &[t.key as u8, t.fp]),
-        Admit::Mismatch | Admit::Full { .. } => w.deny(t),
+        FilingDecision::Replay(answer) => w.answer(t, &answer.body),
+        FilingDecision::AnsweredNotKept { .. } => w.answer(t, &[t.key as u8, t.fp]),
+        FilingDecision::Mismatch | FilingDecision::Full { .. } => w.deny(t),
         // Told "may have run", which is true in any case.
-        Admit::Forward(_)
-        | Admit::InProgress(_)
-        | Admit::MayHaveRun
-        | Admit::Expired
-        | Admit::Unclaimed { .. } => {}
+        FilingDecision::Forward(_)
+        | FilingDecision::InProgress(_)
+        | FilingDecision::MayHaveRun
+        | FilingDecision::Expired
+        | FilingDecision::Unclaimed { .. } => {}
     }
 }
 
@@ -184,7 +184,7 @@
     match stage {
         Stage::Claiming { claim, asked, direct } => {
             let result = |w: &mut World, result| {
-                let admit = w.table(place).claim_result(now, claim, result);
+                let admit = w.table(place).apply_claim_result(now, claim, result);
                 admitted(w, place, t, admit, direct);
             };
             let write = (t.key, stored(w, place, claim, asked));
@@ -212,9 +212,9 @@
             }
         }
         Stage::Admitted { id, attempt } => {
-            go(Action::Shed { t, at: place }, &|w| end(w, place, t, id, End::NotRun));
+            go(Action::Shed { t, at: place }, &|w| end(w, place, t, id, FilingEnd::NotRun));
             go(Action::MarkSent { t, at: place }, &|w| {
-                let marked = w.table(place).sent(now, id).is_ok();
+                let marked = w.table(place).mark_sent(now, id).is_ok();
                 if marked && w.bounds.fine {
                     w.instance(place).tasks.insert((t, Stage::Marked { id, attempt }));
                 } else if marked {
@@ -236,7 +236,7 @@
                     attempt_ended(w, place, t, id, attempt, AttemptEnd::Answered);
                 }),
                 Request::Refused => go(Action::Refusal { t, at: place }, &|w| {
-                    attempt_ended(w, place, t, id, attempt, AttemptEnd::Refused);
+                    attempt_ended(w, place, t, id, attempt, AttemptEnd::Rejected);
                 }),
                 Request::Flying => {}
             }
@@ -258,23 +258,23 @@
     w.instance(place).tasks.insert((t, Stage::Waiting { id, attempt }));
 }
 
-fn answered(t: Try) -> End {
+fn answered(t: Try) -> FilingEnd {
     let body = Bytes::from(vec![t.key as u8, t.fp]);
-    End::Answered(Answer { status: 201, headers: Vec::new(), body })
+    FilingEnd::Answered(Answer { status: 201, headers: Vec::new(), body })
 }
 
 /// The attempt is over: by the table's word it is tried on the next backend server or closed.
 fn attempt_ended(w: &mut World, place: usize, t: Try, id: RecordId, attempt: u8, how: AttemptEnd) {
     let now = at(w.now);
-    match w.table(place).attempt_ended(now, id, how) {
+    match w.table(place).record_attempt_end(now, id, how) {
         AfterAttempt::Answered => end(w, place, t, id, answered(t)),
         AfterAttempt::NotRun if attempt + 1 < w.bounds.attempts => {
             let stage = Stage::Admitted { id, attempt: attempt + 1 };
             w.instance(place).tasks.insert((t, stage));
         }
-        AfterAttempt::NotRun => end(w, place, t, id, End::NotRun),
+        AfterAttempt::NotRun => end(w, place, t, id, FilingEnd::NotRun),
         AfterAttempt::MayHaveRun => {
-            end(w, place, t, id, End::MayHaveRun);
+            end(w, place, t, id, FilingEnd::MayHaveRun);
             if w.bounds.fine {
                 w.instance(place).tasks.insert((t, Stage::GivenUp { id, attempt }));
             }
@@ -282,7 +282,7 @@
     }
 }
 
-fn end(w: &mut World, place: usize, t: Try, id: RecordId, end: End) {
+fn end(w: &mut World, place: usize, t: Try, id: RecordId, end: FilingEnd) {
     let now = at(w.now);
     match w.table(place).resolve(now, id, end) {
         Verdict::NotRun => w.deny(t),
@@ -321,7 +321,7 @@
         add(steps, w, Action::Adopt { at: place, from: *from }, |w| {
             w.hand_overs.remove(&(*to, *from));
             let (now, records) = (at(w.now), w.estates[from].to_vec());
-            w.table(place).adopt(now, *from, records);
+            w.table(place).apply_hand_over(now, *from, records);
         });
     }
 }
--- a/crates/galenapath-filings/tests/model/world.rs
+++ b/crates/galenapath-filings/tests/model/world.rs
@@ -1,7 +1,7 @@
 //! State of the world: instances, store, network, backend servers and what callers were told.
 
 use galenapath_filings::{
-    ClaimId, FilingConfig, FilingKey, FilingTable, Fingerprint, Guards, HandOver, RecordId,
+    ClaimId, FilingConfig, FilingKey, FilingTable, Fingerprint, Guards, HandOverEntry, RecordId,
 };
 use galenapath_protocol::{Incarnation, Micros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -144,7 +144,7 @@
     pub requests: BTreeMap<(Try, u8, Incarnation), Request>,
     /// Outcomes on their way to successors, by receiving instance.
     pub hand_overs: BTreeSet<(usize, Incarnation)>,
-    pub estates: BTreeMap<Incarnation, Rc<Vec<HandOver>>>,
+    pub estates: BTreeMap<Incarnation, Rc<Vec<HandOverEntry>>>,
     pub runs: BTreeMap<(usize, u8), u8>,
     /// Tries whose callers were told "not run".
     pub denied: BTreeSet<Try>,
--- a/crates/galenapath-filings/tests/suspects.rs
+++ b/crates/galenapath-filings/tests/suspects.rs
@@ -23,77 +23,77 @@
 }
 
 fn refused(verdict: SuspectVerdict) -> bool {
-    matches!(verdict, SuspectVerdict::Refuse { .. })
+    matches!(verdict, SuspectVerdict::Reject { .. })
 }
 
 #[test]
 fn judge_unknown_clear() {
-    assert_eq!(suspects().judge(T0, POISON), SuspectVerdict::Clear);
+    assert_eq!(suspects().check(T0, POISON), SuspectVerdict::Clear);
 }
 
 #[test]
 fn crashed_once_all_run_alone() {
     let mut s = suspects();
-    s.crashed(T0, 1, &[POISON, fp(1)]);
-    assert_eq!(s.judge(T0, POISON), SuspectVerdict::RunAlone);
-    assert_eq!(s.judge(T0, fp(1)), SuspectVerdict::RunAlone);
+    s.record_crash(T0, 1, &[POISON, fp(1)]);
+    assert_eq!(s.check(T0, POISON), SuspectVerdict::RunIsolated);
+    assert_eq!(s.check(T0, fp(1)), SuspectVerdict::RunIsolated);
 }
 
 #[test]
 fn crashed_twice_named_and_bystanders_cleared() {
     let mut s = suspects();
-    s.crashed(T0, 1, &[POISON, fp(1), fp(2)]);
+    s.record_crash(T0, 1, &[POISON, fp(1), fp(2)]);
     let now = T0 + APART;
-    s.crashed(now, 2, &[POISON]);
-    assert!(refused(s.judge(now, POISON)));
-    assert_eq!(s.judge(now, fp(1)), SuspectVerdict::Clear);
+    s.record_crash(now, 2, &[POISON]);
+    assert!(refused(s.check(now, POISON)));
+    assert_eq!(s.check(now, fp(1)), SuspectVerdict::Clear);
 }
 
 #[test]
 fn crashed_same_server_reported_twice_once() {
     let mut s = suspects();
-    s.crashed(T0, 1, &[POISON, fp(1)]);
-    s.crashed(T0 + Micros::from_millis(5), 1, &[POISON, fp(2)]);
-    assert_eq!(s.judge(T0 + APART, POISON), SuspectVerdict::RunAlone);
+    s.record_crash(T0, 1, &[POISON, fp(1)]);
+    s.record_crash(T0 + Micros::from_millis(5), 1, &[POISON, fp(2)]);
+    assert_eq!(s.check(T0 + APART, POISON), SuspectVerdict::RunIsolated);
 }
 
 #[test]
 fn crashed_popular_bystander_not_refused() {
     let mut s = suspects();
     let popular = fp(7);
-    s.crashed(T0, 1, &[POISON, popular]);
-    s.crashed(T0 + APART, 2, &[POISON, popular]);
-    assert_eq!(s.judge(T0 + APART, popular), SuspectVerdict::RunAlone);
-    s.answered(T0 + APART, popular);
-    assert_eq!(s.judge(T0 + APART, popular), SuspectVerdict::Clear);
-    assert!(refused(s.judge(T0 + APART, POISON)));
+    s.record_crash(T0, 1, &[POISON, popular]);
+    s.record_crash(T0 + APART, 2, &[POISON, popular]);
+    assert_eq!(s.check(T0 + APART, popular), SuspectVerdict::RunIsolated);
+    s.record_answer(T0 + APART, popular);
+    assert_eq!(s.check(T0 + APART, popular), SuspectVerdict::Clear);
+    assert!(refused(s.check(T0 + APART, POISON)));
 }
 
 #[test]
 fn answered_before_crash_no_excuse() {
     let mut s = suspects();
-    s.crashed(T0, 1, &[POISON]);
-    s.answered(T0, POISON);
-    s.crashed(T0 + APART, 2, &[POISON]);
-    assert_eq!(s.judge(T0 + APART, POISON), SuspectVerdict::RunAlone);
+    s.record_crash(T0, 1, &[POISON]);
+    s.record_answer(T0, POISON);
+    s.record_crash(T0 + APART, 2, &[POISON]);
+    assert_eq!(s.check(T0 + APART, POISON), SuspectVerdict::RunIsolated);
 }
 
 #[test]
 fn trial_second_waits() {
     let mut s = suspects();
-    s.crashed(T0, 1, &[POISON, fp(1)]);
-    s.trial_started(POISON);
-    assert!(refused(s.judge(T0, POISON)));
-    s.trial_ended(POISON);
-    assert_eq!(s.judge(T0, POISON), SuspectVerdict::RunAlone);
+    s.record_crash(T0, 1, &[POISON, fp(1)]);
+    s.begin_isolated_run(POISON);
+    assert!(refused(s.check(T0, POISON)));
+    s.end_isolated_run(POISON);
+    assert_eq!(s.check(T0, POISON), SuspectVerdict::RunIsolated);
 }
 
 #[test]
 fn judge_expired_clear() {
     let mut s = suspects();
-    s.crashed(T0, 1, &[POISON]);
+    s.record_crash(T0, 1, &[POISON]);
     let later = T0 + SuspectConfig::default().lifetime;
-    assert_eq!(s.judge(later, POISON), SuspectVerdict::Clear);
+    assert_eq!(s.check(later, POISON), SuspectVerdict::Clear);
 }
 
 #[test]
@@ -101,25 +101,25 @@
     let mut all: Vec<_> = (0..4).map(|_| suspects()).collect();
     for (place, s) in all.iter_mut().enumerate() {
         let others = [POISON, fp(place as u128), fp(100 + place as u128)];
-        s.crashed(T0, place as u64, &others);
+        s.record_crash(T0, place as u64, &others);
     }
     share(T0, &mut all);
-    assert!(all.iter().all(|s| refused(s.judge(T0, POISON))));
-    assert!(all.iter().all(|s| s.judge(T0, fp(2)) == SuspectVerdict::Clear));
+    assert!(all.iter().all(|s| refused(s.check(T0, POISON))));
+    assert!(all.iter().all(|s| s.check(T0, fp(2)) == SuspectVerdict::Clear));
 }
 
 #[test]
 fn trials_before_sharing_then_refused() {
     let mut all: Vec<_> = (0..3).map(|_| suspects()).collect();
-    all[0].crashed(T0, 0, &[POISON, fp(1)]);
+    all[0].record_crash(T0, 0, &[POISON, fp(1)]);
     share(T0, &mut all);
     let now = T0 + APART;
     for (place, s) in all.iter_mut().enumerate() {
-        assert_eq!(s.judge(now, POISON), SuspectVerdict::RunAlone);
-        s.crashed(now, 1 + place as u64, &[POISON]);
+        assert_eq!(s.check(now, POISON), SuspectVerdict::RunIsolated);
+        s.record_crash(now, 1 + place as u64, &[POISON]);
     }
     share(now, &mut all);
-    assert!(all.iter().all(|s| refused(s.judge(now, POISON))));
+    assert!(all.iter().all(|s| refused(s.check(now, POISON))));
 }
 
 /// Sends the poison again and again through the given instances, each crash shared before the next
@@ -130,14 +130,14 @@
     for (place, bystanders) in sends {
         now = now + APART;
         let mut in_flight = vec![POISON];
-        match all[*place].judge(now, POISON) {
-            SuspectVerdict::Refuse { .. } => continue,
-            SuspectVerdict::RunAlone => all[*place].trial_started(POISON),
+        match all[*place].check(now, POISON) {
+            SuspectVerdict::Reject { .. } => continue,
+            SuspectVerdict::RunIsolated => all[*place].begin_isolated_run(POISON),
             SuspectVerdict::Clear => in_flight.extend(bystanders.iter().map(|n| fp(*n))),
         }
         lost += 1;
-        all[*place].trial_ended(POISON);
-        all[*place].crashed(now, lost, &in_flight);
+        all[*place].end_isolated_run(POISON);
+        all[*place].record_crash(now, lost, &in_flight);
         share(now, &mut all);
     }
     lost
@@ -161,14 +161,14 @@
         for (backend, at, members) in &crashes {
             let mut s = suspects();
             let members: Vec<_> = members.iter().map(|n| fp(*n)).collect();
-            s.crashed(T0 + Micros::from_secs(at * 3), *backend, &members);
+            s.record_crash(T0 + Micros::from_secs(at * 3), *backend, &members);
             parts.push(s);
         }
         let now = T0 + Micros::from_secs(100);
         let mut facts: Vec<_> = parts.iter().flat_map(|s| s.export(now)).collect();
         for n in &answered {
             let age_ms = 20_000;
-            facts.push(galenapath_filings::SuspectWire::Answered { fp: fp(*n), age_ms });
+            facts.push(galenapath_filings::SuspectReport::Answered { fp: fp(*n), age_ms });
         }
         let (mut forth, mut back) = (suspects(), suspects());
         forth.merge(now, &facts);
@@ -176,7 +176,7 @@
         facts.reverse();
         back.merge(now, &facts);
         for n in 0..5 {
-            prop_assert_eq!(forth.judge(now, fp(n)), back.judge(now, fp(n)));
+            prop_assert_eq!(forth.check(now, fp(n)), back.check(now, fp(n)));
         }
     }
 }
--- a/crates/galenapath-filings/tests/table.rs
+++ b/crates/galenapath-filings/tests/table.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use galenapath_filings::{
-    Admit, AfterAttempt, Answer, AttemptEnd, ClaimId, ClaimResult, End, FilingConfig, FilingKey,
-    FilingTable, Fingerprint, HandOver, RecordGone, RecordId,
+    AfterAttempt, Answer, AttemptEnd, ClaimId, ClaimResult, FilingConfig, FilingDecision,
+    FilingEnd, FilingKey, FilingTable, Fingerprint, HandOverEntry, RecordGone, RecordId,
 };
 use galenapath_protocol::{Incarnation, Micros, Verdict};
 
@@ -20,7 +20,7 @@
 }
 
 fn issued(table: &mut FilingTable, now: Micros, nonce: &str) -> FilingKey {
-    let text = table.prefix(now) + nonce;
+    let text = table.key_prefix(now) + nonce;
     FilingKey::try_from(text.as_str()).unwrap()
 }
 
@@ -32,24 +32,24 @@
     Answer { status: 201, headers: Vec::new(), body: Bytes::from(vec![7; len]) }
 }
 
-fn run(admit: Admit) -> RecordId {
+fn run(admit: FilingDecision) -> RecordId {
     match admit {
-        Admit::Run(id) => id,
+        FilingDecision::Run(id) => id,
         other => panic!("expected Run, got {other:?}"),
     }
 }
 
-fn claim(admit: Admit) -> ClaimId {
+fn claim(admit: FilingDecision) -> ClaimId {
     match admit {
-        Admit::Claim(id) => id,
+        FilingDecision::Claim(id) => id,
         other => panic!("expected Claim, got {other:?}"),
     }
 }
 
 fn answered(table: &mut FilingTable, now: Micros, key: &FilingKey, len: usize) {
     let id = run(table.admit(now, key, FP));
-    table.sent(now, id).unwrap();
-    assert_eq!(table.resolve(now, id, End::Answered(answer(len))), Verdict::Answered);
+    table.mark_sent(now, id).unwrap();
+    assert_eq!(table.resolve(now, id, FilingEnd::Answered(answer(len))), Verdict::Answered);
 }
 
 #[test]
@@ -57,7 +57,7 @@
     let mut t = table();
     let key = issued(&mut t, T0, "a");
     answered(&mut t, T0, &key, 3);
-    assert!(matches!(t.admit(T0, &key, FP), Admit::Replay(a) if *a == answer(3)));
+    assert!(matches!(t.admit(T0, &key, FP), FilingDecision::Replay(a) if *a == answer(3)));
 }
 
 #[test]
@@ -65,7 +65,7 @@
     let mut t = table();
     let key = issued(&mut t, T0, "a");
     let id = run(t.admit(T0, &key, FP));
-    assert_eq!(t.admit(T0, &key, FP), Admit::InProgress(id));
+    assert_eq!(t.admit(T0, &key, FP), FilingDecision::InProgress(id));
 }
 
 #[test]
@@ -73,27 +73,27 @@
     let mut t = table();
     let key = issued(&mut t, T0, "a");
     answered(&mut t, T0, &key, 3);
-    assert_eq!(t.admit(T0, &key, OTHER_FP), Admit::Mismatch);
+    assert_eq!(t.admit(T0, &key, OTHER_FP), FilingDecision::Mismatch);
 }
 
 #[test]
 fn admit_foreign_key_forwarded() {
     let mut t = table();
     let key = issued(&mut FilingTable::new(FilingConfig::default(), PEER), T0, "a");
-    assert_eq!(t.admit(T0, &key, FP), Admit::Forward(PEER));
+    assert_eq!(t.admit(T0, &key, FP), FilingDecision::Forward(PEER));
 }
 
 #[test]
 fn admit_future_window_expired() {
     let mut t = table();
-    assert_eq!(t.admit(T0, &own("000000000000000a-7-x"), FP), Admit::Expired);
+    assert_eq!(t.admit(T0, &own("000000000000000a-7-x"), FP), FilingDecision::Expired);
 }
 
 #[test]
 fn admit_key_issued_by_peer_runs() {
     let mut peer = FilingTable::new(FilingConfig::default(), PEER);
     let ahead = T0 + FilingConfig::default().window;
-    let key = own(&(peer.prefix_of(ahead, ME) + "a"));
+    let key = own(&(peer.key_prefix_for(ahead, ME) + "a"));
     run(table().admit(T0, &key, FP));
 }
 
@@ -103,7 +103,7 @@
     let key = issued(&mut t, T0, "a");
     answered(&mut t, T0, &key, 3);
     let late = Micros::from_secs(600 + 3_600);
-    assert_eq!(t.admit(late, &key, FP), Admit::Expired);
+    assert_eq!(t.admit(late, &key, FP), FilingDecision::Expired);
     assert_eq!((t.len(), t.bytes()), (0, 0));
 }
 
@@ -112,7 +112,7 @@
     let mut t = table();
     let key = issued(&mut t, T0, "a");
     let id = run(t.admit(T0, &key, FP));
-    assert_eq!(t.resolve(T0, id, End::NotRun), Verdict::NotRun);
+    assert_eq!(t.resolve(T0, id, FilingEnd::NotRun), Verdict::NotRun);
     run(t.admit(T0, &key, FP));
 }
 
@@ -121,9 +121,9 @@
     let mut t = table();
     let key = issued(&mut t, T0, "a");
     let id = run(t.admit(T0, &key, FP));
-    t.sent(T0, id).unwrap();
-    assert_eq!(t.resolve(T0, id, End::NotRun), Verdict::MayHaveRun);
-    assert_eq!(t.admit(T0, &key, FP), Admit::MayHaveRun);
+    t.mark_sent(T0, id).unwrap();
+    assert_eq!(t.resolve(T0, id, FilingEnd::NotRun), Verdict::MayHaveRun);
+    assert_eq!(t.admit(T0, &key, FP), FilingDecision::MayHaveRun);
 }
 
 #[test]
@@ -131,10 +131,10 @@
     let mut t = table();
     let key = issued(&mut t, T0, "a");
     let id = run(t.admit(T0, &key, FP));
-    t.sent(T0, id).unwrap();
-    t.resolve(T0, id, End::MayHaveRun);
-    t.resolve(T0, id, End::Answered(answer(1)));
-    assert!(matches!(t.admit(T0, &key, FP), Admit::Replay(_)));
+    t.mark_sent(T0, id).unwrap();
+    t.resolve(T0, id, FilingEnd::MayHaveRun);
+    t.resolve(T0, id, FilingEnd::Answered(answer(1)));
+    assert!(matches!(t.admit(T0, &key, FP), FilingDecision::Replay(_)));
 }
 
 #[test]
@@ -142,7 +142,7 @@
     let mut t = table();
     let key = issued(&mut t, T0, "a");
     answered(&mut t, T0, &key, 1 << 20);
-    assert_eq!(t.admit(T0, &key, FP), Admit::AnsweredNotKept { status: 201 });
+    assert_eq!(t.admit(T0, &key, FP), FilingDecision::AnsweredNotKept { status: 201 });
 }
 
 #[test]
@@ -150,11 +150,11 @@
     let mut t = table();
     let key = issued(&mut t, T0, "a");
     let id = run(t.admit(T0, &key, FP));
-    t.sent(T0, id).unwrap();
-    assert_eq!(t.attempt_ended(T0, id, AttemptEnd::Refused), AfterAttempt::NotRun);
-    assert_eq!(t.sent(T0, id), Ok(()));
-    assert_eq!(t.attempt_ended(T0, id, AttemptEnd::Lost), AfterAttempt::MayHaveRun);
-    assert_eq!(t.sent(T0, id), Err(RecordGone));
+    t.mark_sent(T0, id).unwrap();
+    assert_eq!(t.record_attempt_end(T0, id, AttemptEnd::Rejected), AfterAttempt::NotRun);
+    assert_eq!(t.mark_sent(T0, id), Ok(()));
+    assert_eq!(t.record_attempt_end(T0, id, AttemptEnd::Lost), AfterAttempt::MayHaveRun);
+    assert_eq!(t.mark_sent(T0, id), Err(RecordGone));
 }
 
 #[test]
@@ -166,17 +166,17 @@
     let mut refused = 0;
     for n in 0..20 {
         let fresh = issued(&mut t, T0, &n.to_string());
-        refused += usize::from(matches!(t.admit(T0, &fresh, FP), Admit::Full { .. }));
+        refused += usize::from(matches!(t.admit(T0, &fresh, FP), FilingDecision::Full { .. }));
     }
     assert!(refused > 0, "the table never filled");
-    assert_eq!(t.admit(T0, &key, FP), Admit::AnsweredNotKept { status: 201 });
+    assert_eq!(t.admit(T0, &key, FP), FilingDecision::AnsweredNotKept { status: 201 });
 }
 
 #[test]
 fn claim_won_runs() {
     let mut t = table();
     let id = claim(t.admit(T0, &own("booking-1"), FP));
-    run(t.claim_result(T0, id, ClaimResult::Won));
+    run(t.apply_claim_result(T0, id, ClaimResult::Won));
 }
 
 #[test]
@@ -184,17 +184,20 @@
     let mut t = table();
     let id = claim(t.admit(T0, &own("booking-1"), FP));
     let lost = ClaimResult::Lost { incarnation: PEER, claim: ClaimId(1) };
-    assert_eq!(t.claim_result(T0, id, lost), Admit::Forward(PEER));
+    assert_eq!(t.apply_claim_result(T0, id, lost), FilingDecision::Forward(PEER));
 }
 
 #[test]
 fn claim_unknown_resolved_by_resend() {
     let mut t = table();
     let first = claim(t.admit(T0, &own("booking-1"), FP));
-    assert!(matches!(t.claim_result(T0, first, ClaimResult::Unknown), Admit::Unclaimed { .. }));
+    assert!(matches!(
+        t.apply_claim_result(T0, first, ClaimResult::Unknown),
+        FilingDecision::Unclaimed { .. }
+    ));
     let second = claim(t.admit(T0, &own("booking-1"), FP));
     let held = ClaimResult::Lost { incarnation: ME, claim: first };
-    run(t.claim_result(T0, second, held));
+    run(t.apply_claim_result(T0, second, held));
 }
 
 #[test]
@@ -202,13 +205,13 @@
     let mut t = table();
     let key = own("booking-1");
     let first = claim(t.admit(T0, &key, FP));
-    let id = run(t.claim_result(T0, first, ClaimResult::Won));
-    t.sent(T0, id).unwrap();
-    t.resolve(T0, id, End::MayHaveRun);
+    let id = run(t.apply_claim_result(T0, first, ClaimResult::Won));
+    t.mark_sent(T0, id).unwrap();
+    t.resolve(T0, id, FilingEnd::MayHaveRun);
     let late = Micros::from_secs(2 * 3_600);
     let second = claim(t.admit(late, &key, FP));
     let held = ClaimResult::Lost { incarnation: ME, claim: first };
-    assert_eq!(t.claim_result(late, second, held), Admit::MayHaveRun);
+    assert_eq!(t.apply_claim_result(late, second, held), FilingDecision::MayHaveRun);
 }
 
 #[test]
@@ -216,18 +219,18 @@
     let mut t = table();
     let key = own("booking-1");
     let first = claim(t.admit(T0, &key, FP));
-    assert!(matches!(t.admit(T0, &key, FP), Admit::InProgress(_)));
+    assert!(matches!(t.admit(T0, &key, FP), FilingDecision::InProgress(_)));
     let later = T0 + FilingConfig::default().claim_patience + Micros(1);
     let second = claim(t.admit(later, &key, FP));
-    assert_eq!(t.claim_result(later, first, ClaimResult::Won), Admit::MayHaveRun);
-    run(t.claim_result(later, second, ClaimResult::Lost { incarnation: ME, claim: first }));
+    assert_eq!(t.apply_claim_result(later, first, ClaimResult::Won), FilingDecision::MayHaveRun);
+    run(t.apply_claim_result(later, second, ClaimResult::Lost { incarnation: ME, claim: first }));
 }
 
 #[test]
 fn claim_burst_limited() {
     let mut t = table();
     let admits = (0..100).map(|n| t.admit(T0, &own(&format!("k{n}")), FP));
-    let claims = admits.filter(|a| matches!(a, Admit::Claim(_))).count();
+    let claims = admits.filter(|a| matches!(a, FilingDecision::Claim(_))).count();
     assert_eq!(claims, FilingConfig::default().claims_per_sec as usize);
 }
 
@@ -239,16 +242,16 @@
     answered(&mut a, T0, &known, 3);
     let id = run(a.admit(T0, &open, FP));
     a.begin_stop();
-    b.adopt(T0, ME, a.hand_over());
-    assert!(matches!(b.admit(T0, &known, FP), Admit::Replay(_)));
-    assert_eq!(b.admit(T0, &known, OTHER_FP), Admit::Mismatch);
-    assert_eq!(b.admit(T0, &open, FP), Admit::MayHaveRun);
-    a.sent(T0, id).unwrap();
-    a.resolve(T0, id, End::Answered(answer(1)));
-    b.adopt(T0, ME, a.hand_over());
-    assert!(matches!(b.admit(T0, &open, FP), Admit::Replay(_)));
+    b.apply_hand_over(T0, ME, a.hand_over());
+    assert!(matches!(b.admit(T0, &known, FP), FilingDecision::Replay(_)));
+    assert_eq!(b.admit(T0, &known, OTHER_FP), FilingDecision::Mismatch);
+    assert_eq!(b.admit(T0, &open, FP), FilingDecision::MayHaveRun);
+    a.mark_sent(T0, id).unwrap();
+    a.resolve(T0, id, FilingEnd::Answered(answer(1)));
+    b.apply_hand_over(T0, ME, a.hand_over());
+    assert!(matches!(b.admit(T0, &open, FP), FilingDecision::Replay(_)));
     let late = issued(&mut a, T0, "late");
-    assert!(matches!(a.admit(T0, &late, FP), Admit::Full { .. }));
+    assert!(matches!(a.admit(T0, &late, FP), FilingDecision::Full { .. }));
 }
 
 #[test]
@@ -261,8 +264,8 @@
         let key = issued(&mut t, later, &n.to_string());
         answered(&mut t, later, &key, 100);
     }
-    let parts = HandOver::parts(t.hand_over(), 1_000);
-    let sizes = parts.iter().map(|part| part.iter().map(HandOver::bytes).sum::<usize>());
+    let parts = HandOverEntry::split(t.hand_over(), 1_000);
+    let sizes = parts.iter().map(|part| part.iter().map(HandOverEntry::bytes).sum::<usize>());
     assert!(sizes.zip(&parts).all(|(bytes, part)| bytes <= 1_000 || part.len() == 1));
     assert_eq!(parts.iter().map(Vec::len).sum::<usize>(), 11);
     assert!(parts.last().unwrap().iter().any(|outcome| outcome.key == old.id()));
--- a/crates/galenapath-filings/tests/table_random.rs
+++ b/crates/galenapath-filings/tests/table_random.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use galenapath_filings::{
-    Admit, Answer, AttemptEnd, ClaimId, ClaimResult, End, FilingConfig, FilingKey, FilingTable,
-    Fingerprint, RecordId,
+    Answer, AttemptEnd, ClaimId, ClaimResult, FilingConfig, FilingDecision, FilingEnd, FilingKey,
+    FilingTable, Fingerprint, RecordId,
 };
 use galenapath_protocol::{Incarnation, Micros, Verdict};
 use proptest::prelude::*;
@@ -28,7 +28,7 @@
 fn event() -> impl Strategy<Value = Event> {
     let end = prop_oneof![
         Just(AttemptEnd::NothingSent),
-        Just(AttemptEnd::Refused),
+        Just(AttemptEnd::Rejected),
         Just(AttemptEnd::Lost),
     ];
     prop_oneof![
@@ -72,11 +72,13 @@
         Self { table, now, open: Vec::new(), sent: Vec::new(), claims: Vec::new() }
     }
 
-    fn admitted(&mut self, admit: Admit, fp: u8) -> Result<(), TestCaseError> {
+    fn admitted(&mut self, admit: FilingDecision, fp: u8) -> Result<(), TestCaseError> {
         match admit {
-            Admit::Run(id) => self.open.push((id, fp)),
-            Admit::Claim(claim) => self.claims.push((claim, fp)),
-            Admit::Replay(a) => prop_assert_eq!(a.body[0], fp, "the answer of another request"),
+            FilingDecision::Run(id) => self.open.push((id, fp)),
+            FilingDecision::Claim(claim) => self.claims.push((claim, fp)),
+            FilingDecision::Replay(a) => {
+                prop_assert_eq!(a.body[0], fp, "the answer of another request")
+            }
             _ => {}
         }
         Ok(())
@@ -96,14 +98,14 @@
             }
             Event::Sent(n) if !self.open.is_empty() => {
                 let (id, _) = self.open[n % self.open.len()];
-                if self.table.sent(self.now, id).is_ok() {
+                if self.table.mark_sent(self.now, id).is_ok() {
                     prop_assert!(!self.sent.contains(&id), "sent twice");
                     self.sent.push(id);
                 }
             }
             Event::Attempt(n, end) if !self.sent.is_empty() => {
                 let id = self.sent[n % self.sent.len()];
-                let _ = self.table.attempt_ended(self.now, id, end);
+                let _ = self.table.record_attempt_end(self.now, id, end);
                 if end != AttemptEnd::Lost {
                     self.sent.retain(|other| *other != id);
                 }
@@ -118,7 +120,7 @@
                     3 => ClaimResult::Unknown,
                     _ => ClaimResult::StoreDown,
                 };
-                let admit = self.table.claim_result(self.now, claim, result);
+                let admit = self.table.apply_claim_result(self.now, claim, result);
                 self.admitted(admit, fp)?;
             }
             Event::Adopt(nonce, len) => self.adopt(nonce, len),
@@ -133,9 +135,9 @@
         let (id, fp) = self.open.swap_remove(n % self.open.len());
         let was_sent = self.sent.contains(&id);
         let end = match end {
-            0 => End::NotRun,
-            1 => End::MayHaveRun,
-            _ => End::Answered(answer(fp, len)),
+            0 => FilingEnd::NotRun,
+            1 => FilingEnd::MayHaveRun,
+            _ => FilingEnd::Answered(answer(fp, len)),
         };
         let verdict = self.table.resolve(self.now, id, end);
         prop_assert!(!was_sent || verdict != Verdict::NotRun, "\"not run\" after bytes left");
@@ -145,12 +147,12 @@
     fn adopt(&mut self, nonce: u8, len: usize) {
         let peer = Incarnation(0xb);
         let mut other = FilingTable::new(FilingConfig::default(), peer);
-        let text = other.prefix(self.now) + &nonce.to_string();
+        let text = other.key_prefix(self.now) + &nonce.to_string();
         let key = FilingKey::try_from(text.as_str()).expect("valid");
-        if let Admit::Run(id) = other.admit(self.now, &key, Fingerprint(0)) {
-            other.resolve(self.now, id, End::Answered(answer(0, len)));
+        if let FilingDecision::Run(id) = other.admit(self.now, &key, Fingerprint(0)) {
+            other.resolve(self.now, id, FilingEnd::Answered(answer(0, len)));
         }
-        self.table.adopt(self.now, peer, other.hand_over());
+        self.table.apply_hand_over(self.now, peer, other.hand_over());
     }
 }
 
--- a/crates/galenapath-gateway/src/attempt.rs
+++ b/crates/galenapath-gateway/src/attempt.rs
@@ -91,7 +91,7 @@
     match &result {
         Ok(_) => {
             let (now, request) = (call.instance.now(), call.req.fingerprint);
-            call.instance.suspects.borrow_mut().answered(now, request);
+            call.instance.suspects.borrow_mut().record_answer(now, request);
         }
         Err(AttemptError::Broken) => crash::check_for_crash(call, &in_flight.server),
         Err(_) => {}
--- a/crates/galenapath-gateway/src/crash.rs
+++ b/crates/galenapath-gateway/src/crash.rs
@@ -28,7 +28,7 @@
 
 impl Drop for SuspectRun<'_> {
     fn drop(&mut self) {
-        self.instance.suspects.borrow_mut().trial_ended(self.request);
+        self.instance.suspects.borrow_mut().end_isolated_run(self.request);
     }
 }
 
@@ -42,13 +42,13 @@
     let instance = &call.instance;
     let request = call.req.fingerprint;
     let mut suspects = instance.suspects.borrow_mut();
-    match suspects.judge(instance.now(), request) {
+    match suspects.check(instance.now(), request) {
         SuspectVerdict::Clear => Ok(None),
-        SuspectVerdict::RunAlone => {
-            suspects.trial_started(request);
+        SuspectVerdict::RunIsolated => {
+            suspects.begin_isolated_run(request);
             Ok(Some(SuspectRun { instance, request }))
         }
-        SuspectVerdict::Refuse { retry_after } => Err(retry_after),
+        SuspectVerdict::Reject { retry_after } => Err(retry_after),
     }
 }
 
@@ -86,6 +86,6 @@
 impl Instance {
     /// Records a crash that this or another instance detected.
     pub(crate) fn record_crash(&self, note: &CrashNote) {
-        self.suspects.borrow_mut().crashed(self.now(), note.server, &[note.request]);
+        self.suspects.borrow_mut().record_crash(self.now(), note.server, &[note.request]);
     }
 }
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -178,7 +178,8 @@
         // time the domain is used again.
         self.pools.retain(|id| listed.get(id).is_some_and(|server| !server.is_withdrawn));
         self.loss_watchers.retain(|id| listed.contains_key(id));
-        *self.by_short_id.borrow_mut() = listed.keys().map(|id| (id.short(), id.clone())).collect();
+        *self.by_short_id.borrow_mut() =
+            listed.keys().map(|id| (id.short_hash(), id.clone())).collect();
         *self.listed.borrow_mut() = listed;
         self.placement.borrow_mut().set_servers(now, &list);
     }
--- a/crates/galenapath-gateway/src/sharing.rs
+++ b/crates/galenapath-gateway/src/sharing.rs
@@ -94,12 +94,13 @@
     /// Converts the updates to a message sent at `now`.
     fn into_message(self, now: Micros) -> Loads {
         let load = |(id, seen): (BackendId, Sighting)| LoadNote {
-            server: id.short(),
+            server: id.short_hash(),
             age: now - seen.at,
             report: seen.report,
         };
-        let failure = |(id, weight): (BackendId, f32)| FailureNote { server: id.short(), weight };
-        let warmth = |id: &BackendId| WarmthNote { server: id.short(), left: Micros::ZERO };
+        let failure =
+            |(id, weight): (BackendId, f32)| FailureNote { server: id.short_hash(), weight };
+        let warmth = |id: &BackendId| WarmthNote { server: id.short_hash(), left: Micros::ZERO };
         Loads {
             loads: self.loads.into_iter().map(load).collect(),
             failures: self.failures.into_iter().map(failure).collect(),
@@ -200,8 +201,10 @@
             all.warmth.extend(notes.warmth);
         }
         self.send_loads(&all, recipients.iter().filter(|recipient| recipient.is_cross_domain));
-        let warmth =
-            |(id, until): (BackendId, Micros)| WarmthNote { server: id.short(), left: until - now };
+        let warmth = |(id, until): (BackendId, Micros)| WarmthNote {
+            server: id.short_hash(),
+            left: until - now,
+        };
         let warmth = turned_cold.into_iter().map(warmth).collect();
         self.send_to_all(&Loads { crashes, warmth, ..Loads::default() });
     }
--- a/crates/galenapath-peers/src/convert.rs
+++ b/crates/galenapath-peers/src/convert.rs
@@ -5,7 +5,9 @@
     ClearedWire, CrashWire, HandOverWire, HeaderWire, LeavingWire, MemberStatusWire, MemberWire,
     OutcomeWire,
 };
-use galenapath_filings::{Answer, Fingerprint, HandOver, HandedOutcome, KeyId, SuspectWire};
+use galenapath_filings::{
+    Answer, Fingerprint, HandOverEntry, HandOverOutcome, KeyId, SuspectReport,
+};
 use galenapath_membership::{LeavingMark, Member, MemberStatus};
 use galenapath_protocol::{BackendId, DomainId, Incarnation, InstanceId};
 use std::net::SocketAddr;
@@ -80,17 +82,17 @@
 }
 
 /// Splits what is known of suspects into the two lists of a message.
-pub fn crashes_and_cleared(facts: &[SuspectWire]) -> (Vec<CrashWire>, Vec<ClearedWire>) {
+pub fn crashes_and_cleared(facts: &[SuspectReport]) -> (Vec<CrashWire>, Vec<ClearedWire>) {
     let mut crashes = Vec::new();
     let mut cleared = Vec::new();
     for fact in facts {
         match fact {
-            SuspectWire::Crash { backend, age_ms, members } => crashes.push(CrashWire {
+            SuspectReport::Crash { backend, age_ms, members } => crashes.push(CrashWire {
                 backend: *backend,
                 age_ms: *age_ms,
                 fingerprints: members.iter().map(|fp| hex(fp.0)).collect(),
             }),
-            SuspectWire::Answered { fp, age_ms } => {
+            SuspectReport::Answered { fp, age_ms } => {
                 cleared.push(ClearedWire { fingerprint: hex(fp.0), age_ms: *age_ms });
             }
         }
@@ -99,8 +101,8 @@
 }
 
 /// Joins the two lists of a message again; entries that make no sense are left out.
-pub fn suspects(crashes: &[CrashWire], cleared: &[ClearedWire]) -> Vec<SuspectWire> {
-    let crashes = crashes.iter().map(|wire| SuspectWire::Crash {
+pub fn suspects(crashes: &[CrashWire], cleared: &[ClearedWire]) -> Vec<SuspectReport> {
+    let crashes = crashes.iter().map(|wire| SuspectReport::Crash {
         backend: wire.backend,
         age_ms: wire.age_ms,
         members: wire
@@ -111,13 +113,13 @@
     });
     let cleared = cleared.iter().filter_map(|wire| {
         let fp = Fingerprint(unhex(&wire.fingerprint).ok()?);
-        Some(SuspectWire::Answered { fp, age_ms: wire.age_ms })
+        Some(SuspectReport::Answered { fp, age_ms: wire.age_ms })
     });
     crashes.chain(cleared).collect()
 }
 
 /// The message that hands over the outcomes of `incarnation`.
-pub fn hand_over(incarnation: Incarnation, outcomes: &[HandOver]) -> HandOverWire {
+pub fn hand_over(incarnation: Incarnation, outcomes: &[HandOverEntry]) -> HandOverWire {
     let outcomes = outcomes.iter().map(OutcomeWire::from).collect();
     HandOverWire { incarnation: incarnation.0, outcomes }
 }
@@ -127,38 +129,38 @@
 /// # Errors
 ///
 /// When any of them makes no sense; none is taken over then.
-pub fn outcomes(wire: &HandOverWire) -> Result<Vec<HandOver>, BadNews> {
-    wire.outcomes.iter().map(HandOver::try_from).collect()
+pub fn outcomes(wire: &HandOverWire) -> Result<Vec<HandOverEntry>, BadNews> {
+    wire.outcomes.iter().map(HandOverEntry::try_from).collect()
 }
 
-impl From<&HandOver> for OutcomeWire {
-    fn from(outcome: &HandOver) -> Self {
+impl From<&HandOverEntry> for OutcomeWire {
+    fn from(outcome: &HandOverEntry) -> Self {
         let (status, headers, body) = match &outcome.outcome {
-            HandedOutcome::Answered(answer) => {
+            HandOverOutcome::Answered(answer) => {
                 let headers = answer.headers.iter();
                 let headers = headers
                     .map(|(name, value)| HeaderWire { name: name.clone(), value: value.clone() })
                     .collect();
                 (answer.status, headers, Some(hex_bytes(&answer.body)))
             }
-            HandedOutcome::AnswerDropped { status } => (*status, Vec::new(), None),
+            HandOverOutcome::AnswerDropped { status } => (*status, Vec::new(), None),
         };
         Self { key: hex(outcome.key.0), fingerprint: hex(outcome.fp.0), status, headers, body }
     }
 }
 
-impl TryFrom<&OutcomeWire> for HandOver {
+impl TryFrom<&OutcomeWire> for HandOverEntry {
     type Error = BadNews;
 
     fn try_from(wire: &OutcomeWire) -> Result<Self, Self::Error> {
         let status = wire.status;
         let outcome = match &wire.body {
-            Some(body) => HandedOutcome::Answered(Arc::new(Answer {
+            Some(body) => HandOverOutcome::Answered(Arc::new(Answer {
                 status,
                 headers: wire.headers.iter().map(|h| (h.name.clone(), h.value.clone())).collect(),
                 body: unhex_bytes(body)?.into(),
             })),
-            None => HandedOutcome::AnswerDropped { status },
+            None => HandOverOutcome::AnswerDropped { status },
         };
         Ok(Self {
             key: KeyId(unhex(&wire.key)?),
--- a/crates/galenapath-protocol/src/ident.rs
+++ b/crates/galenapath-protocol/src/ident.rs
@@ -49,7 +49,7 @@
     }
 
     /// Lower half of the hash: long enough that hardly any two servers of a fleet have the same.
-    pub fn short(&self) -> u32 {
+    pub fn short_hash(&self) -> u32 {
         self.hash() as u32
     }
 }
--- a/crates/galenapath-routes/src/directory.rs
+++ b/crates/galenapath-routes/src/directory.rs
@@ -123,7 +123,7 @@
 
     /// Takes in who is there at `position`.
     fn remove_missing(&mut self, position: u64, present: &FastSet<u32>) {
-        self.remove_where(position, None, |id| !present.contains(&id.short()));
+        self.remove_where(position, None, |id| !present.contains(&id.short_hash()));
         self.forgotten = self.forgotten.max(position);
     }
 
@@ -165,7 +165,7 @@
     pub fn changes_after(&self, position: u64, now: Micros) -> ServerChanges {
         let is_whole = position == 0;
         let is_forgotten = !is_whole && position < self.forgotten;
-        let present = self.servers.keys().filter(|_| is_forgotten).map(BackendId::short);
+        let present = self.servers.keys().filter(|_| is_forgotten).map(BackendId::short_hash);
         let puts = self.servers.values().filter(|e| is_whole || e.revision > position);
         let removals = self.removals.iter().filter(|r| !is_whole && r.revision > position);
         ServerChanges {
