--- a/crates/galenapath-protocol/src/header.rs
+++ b/crates/galenapath-protocol/src/header.rs
@@ -10,10 +10,10 @@
 pub const WORKSPACE_HEADER: &str = "galenapath-workspace";
 /// Time left for the request in milliseconds, carried along call chains.
 pub const DEADLINE_HEADER: &str = "galenapath-deadline-ms";
-/// Attempts made on the call so far, over the whole call chain: on a request the running one
-/// included, on an answer the most that any level below has reached. Absent means one.
+/// Number of attempts of a call over the whole call chain. A request carries the number including
+/// the running attempt, an answer the maximum of all levels below. Absent means one.
 pub const ATTEMPT_HEADER: &str = "galenapath-attempt";
-/// Number of entry instances that the request has passed; bounds forwarding between them.
+/// Number of entry instances that the request has passed through, which limits forwarding.
 pub const HOPS_HEADER: &str = "galenapath-hops";
 /// Load report that a backend server attaches to its answers; never passed to callers.
 pub const REPORT_HEADER: &str = "galenapath-report";
--- a/crates/galenapath-protocol/src/ident.rs
+++ b/crates/galenapath-protocol/src/ident.rs
@@ -6,15 +6,15 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// A text that is not the identifier it should be.
+/// Error for a text that is not a valid incarnation.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("`{text}` is not an incarnation: expected 16 hexadecimal digits")]
 pub struct ParseIdentError {
-    /// The offending text.
+    /// The invalid text.
     pub text: String,
 }
 
-/// Name of an entry instance as its settings give it. Survives a restart.
+/// Name of an entry instance from its settings. Stays the same after a restart.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct InstanceId(pub String);
@@ -25,7 +25,7 @@
     }
 }
 
-/// Name of a failure domain. Copies share their text: every server and instance has one.
+/// Name of a failure domain. Clones share the text, since every server and instance has one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct DomainId(pub Arc<str>);
@@ -36,19 +36,19 @@
     }
 }
 
-/// Name of a backend server in the platform's list. Copies share their text: one stands in the list, in
-/// each table of what is known of servers and in each request.
+/// Name of a backend server in the platform's list. Clones share the text, since the list, each
+/// table of servers and each request contain one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BackendId(pub Arc<str>);
 
 impl BackendId {
-    /// Hash that names it between instances; the same on all of them.
+    /// Hash that identifies the server in messages between instances, the same in all of them.
     pub fn hash(&self) -> u64 {
         hash64(0, self.0.as_bytes())
     }
 
-    /// Lower half of the hash: long enough that hardly any two servers of a fleet have the same.
+    /// Lower 32 bits of the hash, enough to make collisions between servers unlikely.
     pub fn short_hash(&self) -> u32 {
         self.hash() as u32
     }
--- a/crates/galenapath-protocol/src/lib.rs
+++ b/crates/galenapath-protocol/src/lib.rs
@@ -1,6 +1,6 @@
-//! Shared vocabulary of galenapath's processes: identifiers, time, verdicts and wire types.
+//! Types shared by galenapath's processes: identifiers, time, verdicts and wire types.
 //!
-//! This crate sits at the bottom of the workspace. It has no clock, no socket and no thread.
+//! This crate depends on no other crate of the workspace. It has no clock, socket or thread.
 
 mod collections;
 mod header;
--- a/crates/galenapath-protocol/src/report.rs
+++ b/crates/galenapath-protocol/src/report.rs
@@ -4,29 +4,29 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Load of a backend server as it saw it when it wrote the answer.
+/// Load of a backend server at the time when it wrote the answer.
 ///
-/// Text form: `in-flight=3;waiting=0;slots=6;leaving=0`, and `;pace=250` where the server tells it.
-/// Unknown fields are skipped, so that a server may say more.
+/// Text form: `in-flight=3;waiting=0;slots=6;leaving=0`, followed by `;pace=250` if the server
+/// reports it. Unknown fields are skipped, so that servers can add fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests running, at most `slots` on an honest server.
+    /// Running requests. At most `slots`, unless the server reports wrong numbers.
     pub in_flight: u32,
     /// Requests waiting for a slot.
     pub waiting: u32,
-    /// Requests the server can run at once; never zero.
+    /// Requests that the server can run at the same time. Never zero in a parsed report.
     pub slots: u32,
-    /// Whether the server is leaving and wants no new requests.
+    /// Whether the server is leaving and takes no new requests.
     pub leaving: bool,
-    /// How long work takes on the server's machine at this moment, in percent of the usual; zero
-    /// where the server does not tell.
+    /// Slowdown: the time that work currently takes on the server's machine, in percent of the
+    /// usual time. Zero if the server does not report it.
     pub pace: u32,
 }
 
-/// A load report that cannot be read; the answer it came with is still good.
+/// Error in a load report. The answer that contained the report is still valid.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ParseReportError {
-    /// A field has no number, or none in range.
+    /// A field has no number, or a number out of range.
     #[error("load report field `{0}` is not a number in range")]
     BadNumber(String),
     /// `slots` is missing or zero.
--- a/crates/galenapath-protocol/src/time.rs
+++ b/crates/galenapath-protocol/src/time.rs
@@ -1,28 +1,29 @@
-//! Time as the pure parts of the workspace see it.
+//! Time values for code that does not read a clock.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A moment or a span in microseconds, counted from an origin that the caller chooses (the start
-/// of the process, or of a simulation). Subtraction saturates at zero.
+/// A point in time or a duration, in microseconds. Points in time are counted from an origin that
+/// the caller chooses, such as the start of the process or of a simulation. Addition saturates at
+/// the maximum, subtraction at zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// The origin, or an empty span.
+    /// The origin, or an empty duration.
     pub const ZERO: Self = Self(0);
 
-    /// A span of whole milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn from_millis(ms: u64) -> Self {
         Self(ms * 1_000)
     }
 
-    /// A span of whole seconds.
+    /// Creates a duration from seconds.
     pub const fn from_secs(s: u64) -> Self {
         Self(s * 1_000_000)
     }
 
-    /// The span in milliseconds, with its fraction.
+    /// The duration in milliseconds, including the fraction.
     pub const fn as_millis_f64(self) -> f64 {
         self.0 as f64 / 1_000.0
     }
--- a/crates/galenapath-protocol/src/verdict.rs
+++ b/crates/galenapath-protocol/src/verdict.rs
@@ -1,15 +1,16 @@
-//! What may be said about whether a request ran.
+//! Verdict on whether a request ran.
 
 use std::fmt;
 
 /// Whether a request ran on a backend server, as far as the instance knows.
 ///
-/// Every answer and every error carries one; retries are decided by it and by nothing else.
+/// Every answer and every error carries a verdict. Only the verdict decides whether the request may
+/// be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
     /// A backend server ran the request and its complete answer follows.
     Answered,
-    /// No byte of the request can have reached a backend server that ran it.
+    /// No backend server can have run the request.
     NotRun,
     /// The request may have run; a filing must not be dispatched again.
     MayHaveRun,
