--- a/crates/galenapath-filings/examples/capacity.rs
+++ b/crates/galenapath-filings/examples/capacity.rs
@@ -1,8 +1,8 @@
-//! Measures what filing records cost: bytes for each record, and time for each step.
+//! Measures the memory of filing records and the time of each operation.
 //!
 //! `cargo run --release -p galenapath-filings --example capacity -- [records] [answer bytes]`
 
-#![allow(clippy::unwrap_used, reason = "a measurement stops on the first fault")]
+#![allow(clippy::unwrap_used, reason = "a benchmark stops at the first error")]
 
 use bytes::Bytes;
 use galenapath_filings::{
@@ -67,14 +67,14 @@
 fn resend(table: &mut FilingTable, keys: &[FilingKey]) {
     let start = Instant::now();
     let known = keys.iter().enumerate().filter(|(n, key)| {
-        let admit = table.admit(NOW, key, Fingerprint(*n as u128));
-        matches!(admit, FilingDecision::Replay(_) | FilingDecision::MayHaveRun)
+        let decision = table.admit(NOW, key, Fingerprint(*n as u128));
+        matches!(decision, FilingDecision::Replay(_) | FilingDecision::MayHaveRun)
     });
     assert_eq!(known.count(), keys.len());
     report("admit of a resend", start, keys.len());
 }
 
-/// Expiry frees a few records a call; the longest call is what a request may wait for.
+/// Each call frees a few records. The longest call is the maximum delay of a request.
 fn free(table: &mut FilingTable) {
     let late = Micros::from_secs(7_200);
     let (start, mut calls, mut longest) = (Instant::now(), 0, 0);
@@ -108,7 +108,7 @@
     println!("{what}: {:.0} ns", start.elapsed().as_nanos() as f64 / n as f64);
 }
 
-/// Resident bytes of this process.
+/// Resident memory of this process in bytes.
 fn resident() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap();
     statm.split(' ').nth(1).unwrap().parse::<usize>().unwrap() * PAGE
--- a/crates/galenapath-filings/src/answer.rs
+++ b/crates/galenapath-filings/src/answer.rs
@@ -7,29 +7,29 @@
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Headers to repeat, without the hop-by-hop ones.
+    /// Headers to replay, without hop-by-hop headers.
     pub headers: Vec<(String, String)>,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// Bytes that the answer holds on the heap, allocation overhead estimated.
+    /// Heap memory of the answer in bytes, with an estimate of the allocation overhead.
     pub fn bytes(&self) -> usize {
         let headers: usize =
-            self.headers.iter().map(|(n, v)| n.len() + v.len() + HEADER_COST).sum();
-        ANSWER_COST + headers + self.body.len()
+            self.headers.iter().map(|(n, v)| n.len() + v.len() + HEADER_OVERHEAD_BYTES).sum();
+        ANSWER_OVERHEAD_BYTES + headers + self.body.len()
     }
 
-    /// A copy whose body owns exactly its bytes and does not pin a larger read buffer.
+    /// Copies the body, so that the answer does not keep a larger read buffer alive.
     pub(crate) fn compact(self) -> Self {
         Self { body: Bytes::copy_from_slice(&self.body), ..self }
     }
 }
 
-/// Estimated bytes of an answer besides its headers and body: the shared box, its place in the
-/// queue of kept answers, and the allocations' own overhead.
-const ANSWER_COST: usize = 208;
+/// Estimated memory of an answer without headers and body: the `Arc` allocation, the entry in the
+/// set of kept answers, and allocator overhead.
+const ANSWER_OVERHEAD_BYTES: usize = 208;
 
-/// Estimated bytes of one header besides its text.
-const HEADER_COST: usize = 80;
+/// Estimated memory of one header without its text.
+const HEADER_OVERHEAD_BYTES: usize = 80;
--- a/crates/galenapath-filings/src/claim.rs
+++ b/crates/galenapath-filings/src/claim.rs
@@ -1,55 +1,55 @@
-//! Claims in the platform's store, which bind a caller's own key to an incarnation.
+//! Claims in the platform's store, which bind a caller-chosen key to an incarnation.
 
 use crate::RecordId;
 use galenapath_protocol::{Incarnation, Micros};
 
 /// Number of a claim within its incarnation, written into the store next to the incarnation.
 ///
-/// Grows with each claim asked for, so that a claim found in the store can be told to be from
-/// before or after a record was made.
+/// Increases with each requested claim, so that it shows whether a claim found in the store was
+/// requested before or after a record was created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimId(pub u64);
 
-/// What the store said to a create-if-absent of a claim.
+/// Result of writing a claim to the store with create-if-absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ClaimResult {
-    /// The store created this claim, or a read after a lost reply found this very claim.
+    /// The store created this claim, or a read after a lost reply found it.
     Won,
-    /// The store holds another claim, as read from it. It may be an earlier one of the same
-    /// incarnation.
+    /// The store holds another claim, possibly an earlier one of the same incarnation.
     Lost {
-        /// Incarnation that the held claim names.
+        /// Incarnation of the claim in the store.
         incarnation: Incarnation,
-        /// Number that the held claim carries.
+        /// Number of the claim in the store.
         claim: ClaimId,
     },
-    /// The write was sent; neither its reply nor a read back came. It may land at any time later.
+    /// The write was sent, but neither its reply nor the result of a read arrived. The store may
+    /// still apply the write at any later time.
     Unknown,
     /// The write was not sent.
     StoreDown,
 }
 
-/// A claim that is with the store.
+/// A claim that was requested and has no result yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingClaim {
     pub(crate) record: RecordId,
-    pub(crate) asked: Micros,
+    pub(crate) requested_at: Micros,
 }
 
-/// Token bucket over the claims of one instance, in whole claims.
+/// Token bucket that limits the claims of one instance.
 ///
-/// Load pattern: a burst of filings with keys of their callers' own choosing, each costing the
-/// store one write. Without the limit, 16 instances pass the store's several hundred writes a
-/// second in one burst, and the configuration and the leases, which share the store, starve.
+/// Load pattern: a burst of filings with caller-chosen keys, each of which costs the store one
+/// write. Without the limit, a burst at 16 instances exceeds the several hundred writes a second
+/// that the store can handle, and starves the configuration and the leases, which share the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ClaimBudget {
-    /// Claims per second; never zero.
+    /// Claims per second. Invariant: not zero.
     rate: u32,
-    /// Moment up to which claims are paid for. Invariant: at most one burst ahead of the present.
+    /// Time at which the bucket is full again. Invariant: at most [`BURST`] ahead of the present.
     paid_until: Micros,
 }
 
-/// A full bucket in seconds of its rate.
+/// Size of the bucket, as the time that it takes to refill.
 const BURST: Micros = Micros::from_secs(1);
 
 impl ClaimBudget {
@@ -57,8 +57,12 @@
         Self { rate: rate.max(1), paid_until: Micros::ZERO }
     }
 
-    /// Takes one claim, or tells the span after which one is free.
-    pub(crate) fn take(&mut self, now: Micros) -> Result<(), Micros> {
+    /// Takes one claim from the bucket.
+    ///
+    /// # Errors
+    ///
+    /// The time until a claim is available, if the bucket is empty.
+    pub(crate) fn try_take(&mut self, now: Micros) -> Result<(), Micros> {
         let cost = Micros(1_000_000 / u64::from(self.rate));
         let paid = self.paid_until.max(now) + cost;
         let limit = now + BURST;
--- a/crates/galenapath-filings/src/fingerprint.rs
+++ b/crates/galenapath-filings/src/fingerprint.rs
@@ -1,17 +1,17 @@
-//! Fingerprint of a request: what makes two requests the same work.
+//! Request fingerprints, which are equal for requests that ask for the same work.
 
 use xxhash_rust::xxh3::Xxh3;
 
 /// Hash of service, method, path and body; the same in every process.
 ///
-/// A key that comes back with another fingerprint is a caller's mistake, and a request that
-/// crashes backend servers is recognised by it under any key.
+/// Reusing a key with another fingerprint is an error of the caller. Crash suspects are recognized
+/// by their fingerprint, under any key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u128);
 
 impl Fingerprint {
-    /// Fingerprint of a request. Each part is preceded by its length, so that moving a byte from
-    /// one part to the next changes the result.
+    /// Computes the fingerprint of a request. Each part is preceded by its length, so that moving
+    /// a byte from one part to the next changes the result.
     pub fn of(service: &str, method: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = Xxh3::new();
         for part in [service.as_bytes(), method.as_bytes(), path.as_bytes(), body] {
--- a/crates/galenapath-filings/src/guards.rs
+++ b/crates/galenapath-filings/src/guards.rs
@@ -1,36 +1,38 @@
-//! Switches for the protocol's guards, all on in the programs.
+//! Switches for the protocol's guards, all on in production.
 //!
-//! The model tests turn one off at a time to show that the checker finds what it protects against.
+//! The model tests turn off one guard at a time, to show that the model checker finds the
+//! violation that the guard prevents.
 
-/// One switch for each guard of the protocol; `true` is on.
+/// One switch for each guard of the protocol. `true` means on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
     /// Only the incarnation that an issued key names dispatches it.
     pub incarnation_binds: bool,
-    /// A caller's own key is claimed in the store before it is dispatched.
+    /// A caller-chosen key is claimed in the store before it is dispatched.
     pub own_key_claimed: bool,
-    /// The record is made when the key is admitted, before the dispatch; off, it counts only once
-    /// the filing has ended.
+    /// The record is created when the key is admitted, before the dispatch. If off, the record
+    /// counts only after the filing has ended.
     pub record_first: bool,
-    /// A lost attempt is "may have run" and is not dispatched again.
+    /// A lost attempt gives "may have run" and the filing is not dispatched again.
     pub lost_is_final: bool,
-    /// Keys of a window whose records are dropped are refused.
+    /// Keys of a window whose records have been dropped are rejected.
     pub expired_refused: bool,
-    /// A full table refuses new keys; off, it drops the oldest record.
+    /// A full table rejects new keys. If off, it drops the oldest record.
     pub full_refuses: bool,
-    /// A held claim of the same incarnation counts as won only if it is not older than the record.
+    /// A claim in the store by the same incarnation counts as won only if it is not older than the
+    /// record.
     pub claim_age_checked: bool,
-    /// The store's word on a claim that was asked for long ago is not acted on.
+    /// The store's reply to a claim is ignored once `claim_timeout` has passed.
     pub stale_claim_refused: bool,
-    /// A record that is gone when the first byte is about to leave stops the dispatch.
+    /// A record that no longer exists when the first byte is about to be sent stops the dispatch.
     pub sent_checked: bool,
-    /// A key comes with the fingerprint that it first came with.
+    /// Requests with the same key must have the same fingerprint.
     pub fingerprint_checked: bool,
     /// A key that is not claimed yet is not bound to a fingerprint.
     pub unclaimed_unbound: bool,
-    /// A successor never dispatches keys of the incarnation it took over from.
+    /// A successor never dispatches keys of the incarnation whose outcomes it received.
     pub successor_replays_only: bool,
-    /// An own key that cannot be claimed is not said to be "not run".
+    /// A caller-chosen key that cannot be claimed is not answered with "not run".
     pub unclaimed_not_denied: bool,
 }
 
--- a/crates/galenapath-filings/src/handed_over.rs
+++ b/crates/galenapath-filings/src/handed_over.rs
@@ -1,32 +1,33 @@
-//! Outcomes taken over from instances that stopped as planned.
+//! Outcomes handed over by instances that stopped as planned.
 //!
-//! Dropping them early is safe: a key without an outcome is "may have run" and is never dispatched
-//! by a successor.
+//! Dropping an outcome early is safe: without one, the successor answers "may have run" and never
+//! dispatches the key.
 
-use crate::store::RECORD_COST;
+use crate::records::RECORD_BYTES;
 use crate::{Answer, FilingDecision, Fingerprint, KeyId};
 use galenapath_protocol::{Incarnation, Micros};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A known outcome of a key, as the stopping instance hands it over. Keys without a known outcome
-/// are not handed over: the successor answers "may have run" for them.
+/// A known outcome of a key, as a stopping instance hands it over.
+///
+/// Keys without a known outcome are not handed over: the successor answers "may have run".
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HandOverEntry {
-    /// The key.
+    /// Identity of the key.
     pub key: KeyId,
-    /// The request that the key is bound to.
+    /// Fingerprint of the request that the key is bound to.
     pub fp: Fingerprint,
-    /// How it ended.
+    /// How the filing ended.
     pub outcome: HandOverOutcome,
 }
 
-/// An outcome that is handed over.
+/// How a handed-over filing ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum HandOverOutcome {
-    /// The whole answer.
+    /// The complete answer was kept.
     Answered(Arc<Answer>),
-    /// Only the answer's status.
+    /// Only the answer's status was kept.
     AnswerDropped {
         /// HTTP status of the answer.
         status: u16,
@@ -34,8 +35,9 @@
 }
 
 impl HandOverEntry {
-    /// Splits outcomes into parts of at most `max_bytes` by [`bytes`](Self::bytes), in their order;
-    /// one that is larger makes a part of its own. A successor takes parts over one by one.
+    /// Splits outcomes, in order, into parts of at most `max_bytes` as counted by
+    /// [`bytes`](Self::bytes). A larger outcome gets its own part. Each part is sent to the
+    /// successor in one message.
     pub fn split(outcomes: Vec<Self>, max_bytes: usize) -> Vec<Vec<Self>> {
         let mut parts: Vec<Vec<Self>> = Vec::new();
         let mut used = 0;
@@ -53,37 +55,37 @@
         parts
     }
 
-    /// Bytes that the outcome takes at its successor; a message needs more by its coding.
+    /// Memory in bytes that the outcome takes at the successor. The encoded message is larger.
     pub fn bytes(&self) -> usize {
         match &self.outcome {
-            HandOverOutcome::Answered(answer) => RECORD_COST + answer.bytes(),
-            HandOverOutcome::AnswerDropped { .. } => RECORD_COST,
+            HandOverOutcome::Answered(answer) => RECORD_BYTES + answer.bytes(),
+            HandOverOutcome::AnswerDropped { .. } => RECORD_BYTES,
         }
     }
 }
 
-/// What one stopped incarnation left.
+/// Outcomes of one stopped incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Estate {
+struct IncarnationOutcomes {
     until: Micros,
     records: BTreeMap<KeyId, (Fingerprint, HandOverOutcome)>,
     bytes: usize,
 }
 
-/// Outcomes taken over, by incarnation.
+/// Outcomes handed over to this instance, by the incarnation that they come from.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Adopted {
-    estates: BTreeMap<Incarnation, Estate>,
-    /// Invariant: the sum over `estates`, at most the limit of the settings.
+pub(crate) struct HandedOverOutcomes {
+    by_incarnation: BTreeMap<Incarnation, IncarnationOutcomes>,
+    /// Invariant: the sum over all incarnations, at most `max_handed_over_bytes` of the settings.
     bytes: usize,
 }
 
-impl Adopted {
+impl HandedOverOutcomes {
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Takes over outcomes of `from`; those above `max_bytes` are left out.
+    /// Adds outcomes of `from`, skipping those that would exceed `max_bytes` in total.
     pub(crate) fn add(
         &mut self,
         from: Incarnation,
@@ -91,42 +93,51 @@
         records: Vec<HandOverEntry>,
         max_bytes: usize,
     ) {
-        let estate = self.estates.entry(from).or_default();
-        estate.until = estate.until.max(until);
+        let outcomes = self.by_incarnation.entry(from).or_default();
+        outcomes.until = outcomes.until.max(until);
         for record in records {
             let cost = record.bytes();
-            if self.bytes + cost > max_bytes || estate.records.contains_key(&record.key) {
+            if self.bytes + cost > max_bytes || outcomes.records.contains_key(&record.key) {
                 continue;
             }
-            estate.records.insert(record.key, (record.fp, record.outcome));
-            estate.bytes += cost;
+            outcomes.records.insert(record.key, (record.fp, record.outcome));
+            outcomes.bytes += cost;
             self.bytes += cost;
         }
     }
 
     pub(crate) fn expire(&mut self, now: Micros) {
-        if self.estates.values().all(|estate| estate.until > now) {
+        if self.by_incarnation.values().all(|outcomes| outcomes.until > now) {
             return;
         }
-        self.estates.retain(|_, estate| estate.until > now);
-        self.bytes = self.estates.values().map(|estate| estate.bytes).sum();
+        self.by_incarnation.retain(|_, outcomes| outcomes.until > now);
+        self.bytes = self.by_incarnation.values().map(|outcomes| outcomes.bytes).sum();
     }
 
-    /// The answer for a key of a stopped incarnation; `None` if it was not taken over.
+    /// Decides on a key of a stopped incarnation. `None` if nothing was received from `from`.
     pub(crate) fn admit(
         &self,
         from: Incarnation,
         key: KeyId,
         fp: Fingerprint,
     ) -> Option<FilingDecision> {
-        let estate = self.estates.get(&from)?;
-        Some(estate.records.get(&key).map_or(FilingDecision::MayHaveRun, |found| replay(found, fp)))
+        let outcomes = self.by_incarnation.get(&from)?;
+        Some(
+            outcomes
+                .records
+                .get(&key)
+                .map_or(FilingDecision::MayHaveRun, |found| replay(found, fp)),
+        )
     }
 
-    /// The answer for a caller's own key, whichever incarnation it was bound to.
-    pub(crate) fn admit_own(&self, key: KeyId, fp: Fingerprint) -> Option<FilingDecision> {
-        let mut estates = self.estates.values();
-        estates.find_map(|estate| estate.records.get(&key)).map(|found| replay(found, fp))
+    /// Decides on a caller-chosen key, bound to any stopped incarnation. `None` if it is unknown.
+    pub(crate) fn admit_caller_chosen(
+        &self,
+        key: KeyId,
+        fp: Fingerprint,
+    ) -> Option<FilingDecision> {
+        let mut all = self.by_incarnation.values();
+        all.find_map(|outcomes| outcomes.records.get(&key)).map(|found| replay(found, fp))
     }
 }
 
--- a/crates/galenapath-filings/src/key.rs
+++ b/crates/galenapath-filings/src/key.rs
@@ -1,34 +1,34 @@
 //! Idempotency keys of filings.
 //!
 //! An issued key is `<incarnation>-<window>-<nonce>`: 16 hexadecimal digits, a decimal window
-//! number, and whatever the caller appends. Any other text is a caller's own key.
+//! number, and a nonce that the caller appends. Any other text is a caller-chosen key.
 
 use galenapath_protocol::Incarnation;
 use thiserror::Error;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Separates the parts of a hashed identity, so that no two sequences of parts run together.
-const PART_END: [u8; 1] = [0];
+/// Separates the hashed parts, so that different parts never join to the same bytes.
+const PART_SEPARATOR: [u8; 1] = [0];
 
 /// 128-bit identity of a key within its workspace; the same in every process.
 ///
-/// Records hold it in place of the text. Two keys that collide are still told apart by the
-/// fingerprint of their requests.
+/// Records hold it instead of the text. If two keys collide, the fingerprints of their requests
+/// still distinguish them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub u128);
 
-/// Who chose a key, and so who may dispatch it.
+/// Origin of a key, which decides the instance that may dispatch it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum KeyKind {
-    /// The key starts with a prefix from an address answer: only `incarnation` dispatches it.
+    /// The key starts with a prefix from an address response. Only `incarnation` dispatches it.
     Issued {
         /// Instance run that issued the prefix.
         incarnation: Incarnation,
         /// Key window in which the prefix was issued.
         window: u32,
     },
-    /// The caller chose the whole key: it is bound to an incarnation by a claim in the store.
-    Own,
+    /// The caller chose the whole key. A claim in the store binds it to an incarnation.
+    CallerChosen,
 }
 
 /// A parsed idempotency key: 1 to 255 visible ASCII characters.
@@ -61,22 +61,22 @@
         check_text(text)?;
         let mut hasher = Xxh3::new();
         hasher.update(workspace.as_bytes());
-        hasher.update(&PART_END);
+        hasher.update(&PART_SEPARATOR);
         hasher.update(text.as_bytes());
         Ok(Self { id: KeyId(hasher.digest128()), kind: kind_of(text) })
     }
 
-    /// The key's identity.
+    /// Identity of the key.
     pub fn id(&self) -> KeyId {
         self.id
     }
 
-    /// Who chose the key.
+    /// Origin of the key.
     pub fn kind(&self) -> KeyKind {
         self.kind
     }
 
-    /// Key under which the platform's store holds the claim of a caller's own key.
+    /// Key under which the platform's store holds the claim of a caller-chosen key.
     pub fn claim_path(&self) -> String {
         format!("claims/{:032x}", self.id.0)
     }
@@ -90,7 +90,7 @@
     }
 }
 
-/// The prefix that the address answer carries.
+/// Formats the key prefix that an address response carries.
 pub(crate) fn prefix_text(incarnation: Incarnation, window: u32) -> String {
     format!("{incarnation}-{window}-")
 }
@@ -109,11 +109,13 @@
 }
 
 fn kind_of(text: &str) -> KeyKind {
-    parse_prefix(text)
-        .map_or(KeyKind::Own, |(incarnation, window)| KeyKind::Issued { incarnation, window })
+    parse_prefix(text).map_or(KeyKind::CallerChosen, |(incarnation, window)| KeyKind::Issued {
+        incarnation,
+        window,
+    })
 }
 
-/// Reads the canonical prefix; a window with leading zeros or a sign is not one that was issued.
+/// Parses the prefix of an issued key. Windows are never issued with leading zeros or a sign.
 fn parse_prefix(text: &str) -> Option<(Incarnation, u32)> {
     let (incarnation, rest) = text.split_once('-')?;
     let (window, nonce) = rest.split_once('-')?;
--- a/crates/galenapath-filings/src/record.rs
+++ b/crates/galenapath-filings/src/record.rs
@@ -1,13 +1,13 @@
-//! The record of one filing and how it changes.
+//! The record of one filing and its states.
 
 use crate::{Answer, ClaimId, Fingerprint, KeyId};
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Names one record of one table; a later record of the same key has another id.
+/// Identifies one record of one table. A later record of the same key has another id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RecordId {
-    // First, so that ids sort by age.
+    // The first field, so that ids sort by age.
     pub(crate) seq: u64,
     pub(crate) window: u32,
     pub(crate) key: KeyId,
@@ -16,62 +16,63 @@
 /// How a filing ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum FilingEnd {
-    /// No backend server ran it: no byte was sent, or the server itself refused it.
+    /// No backend server ran it: no byte was sent, or the server rejected it.
     NotRun,
-    /// Bytes may have reached a backend server and its answer is not known.
+    /// Bytes may have reached a backend server, and its answer is not known.
     MayHaveRun,
-    /// The complete answer.
+    /// The backend server answered completely.
     Answered(Answer),
 }
 
 /// How one attempt at one backend server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptEnd {
-    /// No byte left the instance.
+    /// No byte was sent.
     NothingSent,
     /// The backend server answered that it did not run the request.
     Rejected,
-    /// Bytes left and no complete answer came.
+    /// Bytes were sent and no complete answer was received.
     Lost,
-    /// A complete answer came.
+    /// A complete answer was received.
     Answered,
 }
 
-/// What may follow an attempt.
+/// What the caller of the table must do after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AfterAttempt {
-    /// The filing did not run: another backend server may get it, or the caller is told "not run".
+    /// The filing did not run: send it to another backend server, or resolve it as "not run".
     NotRun,
-    /// The filing may have run: resolve it so, never dispatch it again.
+    /// The filing may have run: resolve it as "may have run" and never dispatch it again.
     MayHaveRun,
     /// Resolve the filing with the answer.
     Answered,
 }
 
-/// The record is not open any more: nothing may be sent for it.
+/// The record no longer exists or is closed, so nothing may be sent for it.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the filing's record is gone or closed; nothing may be sent for it")]
+#[error("the filing's record no longer exists or is closed; the request must not be sent")]
 pub struct RecordGone;
 
 /// State of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum State {
-    /// Own key: the claim `latest` is with the store. Claims `first` and later are from this
-    /// record's life, in which nothing was dispatched.
+    /// Caller-chosen key: the claim `latest` was requested from the store. `first` is the first
+    /// claim requested for this record. Nothing has been dispatched since.
     Claiming { first: ClaimId, latest: ClaimId },
-    /// Own key: a claim since `first` may have landed or may land later; nothing was dispatched.
+    /// Caller-chosen key: the store may hold, or later create, one of the claims since `first`.
+    /// Nothing has been dispatched since.
     Unclaimed { first: ClaimId },
-    /// Own key: claimed, did not run, may run on a resend.
+    /// Caller-chosen key: claimed, did not run, may run on a resend.
     Ready,
-    /// Admitted; no byte has left.
+    /// Admitted; no byte has been sent.
     Admitted,
-    /// Bytes may have left.
+    /// Bytes may have been sent.
     Sent,
-    /// Closed without an answer. Never leaves this state except for a late answer.
+    /// Closed without an answer. Only a late answer changes this state.
     MayHaveRun,
     /// Closed with its answer.
     Answered(Arc<Answer>),
-    /// Closed; the answer was too large or had to make room.
+    /// Closed; the answer was too large or was dropped to free memory.
     AnswerDropped { status: u16 },
 }
 
@@ -80,14 +81,14 @@
 pub(crate) struct Record {
     /// Sequence number of its [`RecordId`].
     pub(crate) seq: u64,
-    /// Fingerprint of the request that it is bound to, from `Admitted` on.
+    /// Fingerprint of the request that the key is bound to once the record is `Admitted`.
     pub(crate) fp: Fingerprint,
-    pub(crate) own_key: bool,
+    pub(crate) is_caller_chosen: bool,
     pub(crate) state: State,
 }
 
 impl Record {
-    /// Whether the record holds the key to one fingerprint.
+    /// Whether requests with another fingerprint are a mismatch.
     pub(crate) fn binds_fingerprint(&self) -> bool {
         !matches!(self.state, State::Claiming { .. } | State::Unclaimed { .. } | State::Ready)
     }
--- a/crates/galenapath-filings/src/records.rs
+++ b/crates/galenapath-filings/src/records.rs
@@ -1,30 +1,31 @@
-//! The records of one table: by key window, with their bytes counted.
+//! The records of one table, by key window, with an account of their memory.
 //!
-//! Ordered maps rather than hash maps: a whole window is dropped by its number, the model checker
-//! can hash and compare the very state that runs, and no insert ever stalls on a rehash.
+//! Uses ordered maps rather than hash maps: expired windows are found by number, the model checker
+//! can hash and compare the state, and no insertion is delayed by a rehash.
 
 use crate::record::{Record, State};
 use crate::{Answer, KeyId, RecordId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Bytes of a record in its ordered map, nodes' free places included; measured by the `capacity`
-/// example.
-pub(crate) const RECORD_COST: usize = 128;
+/// Memory of a record in its ordered map, including unused space in the nodes. The `capacity`
+/// example prints it.
+pub(crate) const RECORD_BYTES: usize = 128;
 
-/// Most records of expired windows that one call frees, so that no request waits for a whole
-/// window to be freed.
-const FREED_PER_CALL: usize = 64;
+/// Limit of expired records freed by one call, so that no request waits until a whole window is
+/// freed.
+const MAX_FREED_PER_CALL: usize = 64;
 
 /// The records of one table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Records {
     windows: BTreeMap<u32, BTreeMap<KeyId, Record>>,
-    /// Windows below are expired. Invariant: never falls, and no lookup sees a record below it.
-    floor: u32,
-    /// Records whose answer is kept whole, oldest first.
-    kept: BTreeSet<RecordId>,
-    /// Invariant: the cost of all records and kept answers, at most `max_bytes` of the settings.
+    /// First window that has not expired. Invariant: never decreases, and no lookup returns a
+    /// record of an earlier window.
+    first_live_window: u32,
+    /// Records with a complete answer, oldest first.
+    kept_answers: BTreeSet<RecordId>,
+    /// Memory of all records and kept answers. Invariant: at most `max_bytes` of the settings.
     bytes: usize,
     len: usize,
     next_seq: u64,
@@ -39,8 +40,8 @@
         self.bytes
     }
 
-    pub(crate) fn floor(&self) -> u32 {
-        self.floor
+    pub(crate) fn first_live_window(&self) -> u32 {
+        self.first_live_window
     }
 
     /// The oldest window that still holds records.
@@ -54,32 +55,33 @@
     }
 
     pub(crate) fn find(&self, window: u32, key: KeyId) -> Option<RecordId> {
-        if window < self.floor {
+        if window < self.first_live_window {
             return None;
         }
         let record = self.windows.get(&window)?.get(&key)?;
         Some(RecordId { seq: record.seq, window, key })
     }
 
-    /// Finds a key whose window is not known from its text.
-    pub(crate) fn find_any(&self, key: KeyId) -> Option<RecordId> {
-        self.windows.range(self.floor..).find_map(|(window, _)| self.find(*window, key))
+    /// Finds a caller-chosen key, whose text does not contain the window.
+    pub(crate) fn find_in_any_window(&self, key: KeyId) -> Option<RecordId> {
+        self.windows.range(self.first_live_window..).find_map(|(window, _)| self.find(*window, key))
     }
 
     pub(crate) fn get_mut(&mut self, id: RecordId) -> Option<&mut Record> {
-        if id.window < self.floor {
+        if id.window < self.first_live_window {
             return None;
         }
         let record = self.windows.get_mut(&id.window)?.get_mut(&id.key)?;
         (record.seq == id.seq).then_some(record)
     }
 
-    /// Inserts a record, dropping kept answers to make room; `false` if there is none.
+    /// Inserts a record, dropping kept answers if necessary. Returns `false` if there is still not
+    /// enough memory.
     pub(crate) fn insert(&mut self, id: RecordId, record: Record, max_bytes: usize) -> bool {
-        if !self.make_room(RECORD_COST, max_bytes) {
+        if !self.make_room(RECORD_BYTES, max_bytes) {
             return false;
         }
-        self.bytes += RECORD_COST;
+        self.bytes += RECORD_BYTES;
         self.len += 1;
         self.windows.entry(id.window).or_default().insert(id.key, record);
         true
@@ -95,12 +97,18 @@
             self.windows.remove(&id.window);
         }
         if let Some(record) = removed {
-            self.uncount(id, &record);
+            self.subtract_record(id, &record);
         }
     }
 
-    /// Closes a record with an answer: kept whole if it fits, else as its status.
-    pub(crate) fn keep(&mut self, id: RecordId, answer: Answer, max_answer: usize, max: usize) {
+    /// Closes a record with an answer. Keeps only the status if the complete answer does not fit.
+    pub(crate) fn store_answer(
+        &mut self,
+        id: RecordId,
+        answer: Answer,
+        max_answer: usize,
+        max: usize,
+    ) {
         if self.get_mut(id).is_none() {
             return;
         }
@@ -113,25 +121,29 @@
         };
         if fits {
             self.bytes += cost;
-            self.kept.insert(id);
+            self.kept_answers.insert(id);
         }
         if let Some(record) = self.get_mut(id) {
             record.state = state;
         }
     }
 
-    /// Raises the floor and frees a few records below it.
-    pub(crate) fn expire(&mut self, floor: u32) {
-        self.floor = self.floor.max(floor);
-        for _ in 0..FREED_PER_CALL {
+    /// Expires windows before `first_live_window` and frees up to [`MAX_FREED_PER_CALL`] of their
+    /// records.
+    pub(crate) fn expire(&mut self, first_live_window: u32) {
+        self.first_live_window = self.first_live_window.max(first_live_window);
+        for _ in 0..MAX_FREED_PER_CALL {
             let Some(mut window) = self.windows.first_entry() else { return };
             let number = *window.key();
-            if number >= self.floor {
+            if number >= self.first_live_window {
                 return;
             }
             match window.get_mut().pop_first() {
                 Some((key, record)) => {
-                    self.uncount(RecordId { seq: record.seq, window: number, key }, &record);
+                    self.subtract_record(
+                        RecordId { seq: record.seq, window: number, key },
+                        &record,
+                    );
                 }
                 None => {
                     window.remove();
@@ -140,7 +152,7 @@
         }
     }
 
-    /// Drops the oldest record. Only the model tests do this, with a guard off.
+    /// Drops the oldest record. Used only by the model tests, with a guard off.
     pub(crate) fn drop_oldest(&mut self) {
         let ids = self.windows.iter().flat_map(|(window, records)| {
             let id =
@@ -152,15 +164,15 @@
         }
     }
 
-    /// All records, newest window first.
+    /// All unexpired records, newest window first.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (KeyId, &Record)> {
-        let live = self.windows.range(self.floor..).rev();
+        let live = self.windows.range(self.first_live_window..).rev();
         live.flat_map(|(_, records)| records.iter().map(|(key, record)| (*key, record)))
     }
 
     fn make_room(&mut self, cost: usize, max: usize) -> bool {
         while self.bytes + cost > max {
-            let Some(id) = self.kept.pop_first() else { return false };
+            let Some(id) = self.kept_answers.pop_first() else { return false };
             self.drop_answer(id);
         }
         true
@@ -175,12 +187,12 @@
         }
     }
 
-    fn uncount(&mut self, id: RecordId, record: &Record) {
+    fn subtract_record(&mut self, id: RecordId, record: &Record) {
         self.len -= 1;
-        self.bytes -= RECORD_COST;
+        self.bytes -= RECORD_BYTES;
         if let State::Answered(answer) = &record.state {
             self.bytes -= answer.bytes();
-            self.kept.remove(&id);
+            self.kept_answers.remove(&id);
         }
     }
 }
--- a/crates/galenapath-filings/src/suspects/crash.rs
+++ b/crates/galenapath-filings/src/suspects/crash.rs
@@ -3,23 +3,25 @@
 use crate::Fingerprint;
 use galenapath_protocol::Micros;
 
-/// Reports on one backend server this close together are of one crash: instances see the loss of
-/// their connections within milliseconds, and a server needs longer than this to come back.
-const SAME_CRASH: Micros = Micros::from_secs(2);
+/// Reports of a crash of the same backend server within this time are of the same crash. Instances
+/// detect the loss of their connections within milliseconds, and a server takes longer than this to
+/// restart.
+const SAME_CRASH_WINDOW: Micros = Micros::from_secs(2);
 
-/// One crash with the requests that were in flight, as far as instances have told.
+/// One crash, with the requests in flight that instances have reported.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Crash {
     pub(super) backend: u64,
     pub(super) at: Micros,
-    /// Requests that were in flight and were not answered since. Invariant: sorted, no duplicates.
+    /// Requests that were in flight and have not been answered since. Invariant: sorted, no
+    /// duplicates.
     pub(super) members: Vec<Fingerprint>,
 }
 
 impl Crash {
-    pub(super) fn is(&self, backend: u64, at: Micros) -> bool {
+    pub(super) fn is_same(&self, backend: u64, at: Micros) -> bool {
         let apart = (self.at - at).max(at - self.at);
-        self.backend == backend && apart < SAME_CRASH
+        self.backend == backend && apart < SAME_CRASH_WINDOW
     }
 
     pub(super) fn add(&mut self, fp: Fingerprint, max: usize) {
--- a/crates/galenapath-filings/src/suspects/report.rs
+++ b/crates/galenapath-filings/src/suspects/report.rs
@@ -1,8 +1,8 @@
-//! What instances tell each other about suspects.
+//! Reports about crash suspects that instances send each other.
 
 use crate::Fingerprint;
 
-/// One fact about suspects. Ages instead of times, since instances share no clock.
+/// A crash or an answer. Contains ages instead of times, since instances do not share a clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum SuspectReport {
     /// A backend server crashed with these requests in flight.
@@ -11,12 +11,12 @@
         backend: u64,
         /// Milliseconds since the crash.
         age_ms: u64,
-        /// Requests that were in flight and were not answered since.
+        /// Requests that were in flight and have not been answered since.
         members: Vec<Fingerprint>,
     },
     /// A request was answered completely.
     Answered {
-        /// The request.
+        /// Fingerprint of the request.
         fp: Fingerprint,
         /// Milliseconds since the answer.
         age_ms: u64,
--- a/crates/galenapath-filings/src/table.rs
+++ b/crates/galenapath-filings/src/table.rs
@@ -1,27 +1,28 @@
-//! The filing table of one instance: admits, dispatches once, remembers.
+//! The filing table of one instance, which makes sure that a filing runs at most once.
 //!
-//! Load pattern: a burst of filings in which callers lose answers and send again, through this
-//! instance or another. Without the table a resend runs a booking twice. Its limits are bytes and
-//! key windows: a full table refuses new keys and never forgets a live one, and a key whose window
-//! has passed is refused by its number, so that forgetting its record is harmless.
+//! Load pattern: a burst of filings in which callers do not receive answers and resend, through
+//! this instance or another. Without the table, a resend runs a booking twice. The limits are
+//! memory and key windows. A full table rejects new keys and never drops a record that has not
+//! expired. A key of an expired window is rejected by its window number, so dropping its record is
+//! safe.
 
 mod admit;
 mod claims;
 
-use crate::adopted::Adopted;
 use crate::claim::{ClaimBudget, PendingClaim};
+use crate::handed_over::HandedOverOutcomes;
 use crate::key::prefix_text;
 use crate::record::{AfterAttempt, AttemptEnd, FilingEnd, Record, RecordGone, State};
-use crate::store::Records;
+use crate::records::Records;
 use crate::{ClaimId, FilingConfig, Guards, HandOverEntry, HandOverOutcome, RecordId};
 use galenapath_protocol::{Incarnation, Micros, Verdict};
 use std::collections::BTreeMap;
 
 pub use admit::FilingDecision;
 
-/// Windows ahead of the current one whose keys are admitted: the clock of the instance that issued
-/// the key may be ahead.
-const EARLY_WINDOWS: u32 = 1;
+/// Number of windows after the current one whose keys are admitted, since the clock of the instance
+/// that issued the key may be ahead.
+const MAX_WINDOWS_AHEAD: u32 = 1;
 
 /// The filing table of one instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -29,25 +30,26 @@
     cfg: FilingConfig,
     guards: Guards,
     incarnation: Incarnation,
-    /// Latest time seen. Invariant: never falls.
+    /// Latest time passed in. Invariant: never decreases.
     now: Micros,
-    /// A planned stop has begun: new keys are refused, those in progress end.
+    /// A planned stop has begun: new keys are rejected, filings in progress continue.
     stopping: bool,
     records: Records,
-    adopted: Adopted,
+    handed_over: HandedOverOutcomes,
     budget: ClaimBudget,
     next_claim: u64,
-    /// Claims that are with the store. Invariant: at most those of `claim_patience` and one more.
+    /// Requested claims without a result. Invariant: at most the claims requested within
+    /// `claim_timeout`, and one more.
     pending: BTreeMap<ClaimId, PendingClaim>,
 }
 
 impl FilingTable {
-    /// An empty table of `incarnation`.
+    /// Creates an empty table for `incarnation`.
     pub fn new(cfg: FilingConfig, incarnation: Incarnation) -> Self {
         Self::with_guards(cfg, incarnation, Guards::default())
     }
 
-    /// An empty table with some of the protocol's guards off; for model tests only.
+    /// Creates an empty table with some of the protocol's guards off, for model tests only.
     #[doc(hidden)]
     pub fn with_guards(cfg: FilingConfig, incarnation: Incarnation, guards: Guards) -> Self {
         let budget = ClaimBudget::new(cfg.claims_per_sec);
@@ -58,32 +60,36 @@
             now: Micros::ZERO,
             stopping: false,
             records: Records::default(),
-            adopted: Adopted::default(),
+            handed_over: HandedOverOutcomes::default(),
             budget,
             next_claim: 0,
             pending: BTreeMap::new(),
         }
     }
 
-    /// The current key prefix, for the address answer.
+    /// The current key prefix, for the address response.
     pub fn key_prefix(&mut self, now: Micros) -> String {
         self.expire(now);
         prefix_text(self.incarnation, self.window())
     }
 
-    /// The current key prefix of another instance, for an address answer that names it.
+    /// The current key prefix of another instance, for an address response that contains it.
     ///
-    /// Instances that issue for each other count time from one origin, such as the Unix epoch at
-    /// their start. Clocks that disagree by more than a key window cost availability only: the
-    /// owner refuses keys of windows that it does not know yet, and those below its own floor.
+    /// Instances that issue prefixes for each other must count time from one origin, such as the
+    /// Unix epoch at their start. Clocks that differ by more than a key window reduce availability
+    /// only: the other instance rejects keys of windows that are too far ahead or expired.
     pub fn key_prefix_for(&mut self, now: Micros, incarnation: Incarnation) -> String {
         self.expire(now);
         prefix_text(incarnation, self.window())
     }
 
-    /// Marks that the first byte of an attempt may leave now. Must be called right before it does,
-    /// with the time read right before; on an error nothing may be sent and the caller is told
-    /// what a fresh [`admit`](Self::admit) says.
+    /// Marks the record as sent. Must be called immediately before the first byte of an attempt is
+    /// sent, with the current time.
+    ///
+    /// # Errors
+    ///
+    /// The record no longer exists or is closed. Nothing may be sent; call [`admit`](Self::admit)
+    /// again for the answer to the caller.
     pub fn mark_sent(&mut self, now: Micros, id: RecordId) -> Result<(), RecordGone> {
         self.expire(now);
         if !self.guards.sent_checked {
@@ -97,8 +103,8 @@
         Ok(())
     }
 
-    /// Tells what may follow an attempt. The record is open for another attempt only after
-    /// [`AfterAttempt::NotRun`].
+    /// Records the end of an attempt and returns what must follow. Another attempt is allowed only
+    /// after [`AfterAttempt::NotRun`].
     pub fn record_attempt_end(
         &mut self,
         now: Micros,
@@ -122,11 +128,12 @@
         AfterAttempt::NotRun
     }
 
-    /// Closes a filing and returns the verdict that its caller may be told.
+    /// Closes a filing and returns the verdict for its caller.
     ///
-    /// "Not run" is taken back to "may have run" when bytes may have left and
-    /// [`attempt_ended`](Self::attempt_ended) was not told otherwise. After "not run" a resend of
-    /// the key may run. An answer that comes after "may have run" is kept for resends.
+    /// [`FilingEnd::NotRun`] gives "may have run" if bytes may have been sent, unless
+    /// [`record_attempt_end`](Self::record_attempt_end) has recorded that the attempt did not run.
+    /// After "not run", a resend of the key may run. An answer that arrives after "may have run" is
+    /// kept for resends.
     pub fn resolve(&mut self, now: Micros, id: RecordId, end: FilingEnd) -> Verdict {
         self.expire(now);
         match end {
@@ -137,21 +144,23 @@
             }
             FilingEnd::Answered(answer) => {
                 let (max_answer, max) = (self.cfg.max_answer_bytes, self.cfg.max_bytes);
-                self.records.keep(id, answer, max_answer, max);
+                self.records.store_answer(id, answer, max_answer, max);
                 Verdict::Answered
             }
         }
     }
 
-    /// Begins a planned stop: new keys are refused from now on.
+    /// Begins a planned stop, after which new keys are rejected.
     pub fn begin_stop(&mut self) {
         self.stopping = true;
     }
 
-    /// All known outcomes, for the successors; begins a planned stop if none has begun. Best called
-    /// when the last filing has ended, since a successor answers "may have run" for the others. It
-    /// may be called again for those that ended since. Newest windows come first, since a successor
-    /// takes over no more than it has room for.
+    /// Returns all known outcomes for the successors, and begins a planned stop.
+    ///
+    /// Should be called when the last filing has ended, since a successor answers "may have run"
+    /// for filings without an outcome. It can be called again for filings that ended later. Newest
+    /// windows come first, since a successor accepts only as many outcomes as fit in its memory
+    /// limit.
     pub fn hand_over(&mut self) -> Vec<HandOverEntry> {
         self.begin_stop();
         self.records
@@ -169,15 +178,15 @@
             .collect()
     }
 
-    /// Takes over the outcomes of `from`, which has stopped as planned. Keys of `from` without an
-    /// outcome are "may have run" here; none is dispatched.
+    /// Applies the outcomes handed over by `from`, which has stopped as planned. This table answers
+    /// "may have run" for keys of `from` without an outcome and dispatches none of them.
     pub fn apply_hand_over(&mut self, now: Micros, from: Incarnation, records: Vec<HandOverEntry>) {
         self.expire(now);
         let until = self.now + self.cfg.window + self.cfg.lifetime;
-        self.adopted.add(from, until, records, self.cfg.max_adopted_bytes);
+        self.handed_over.add(from, until, records, self.cfg.max_handed_over_bytes);
     }
 
-    /// Number of records, expired ones that are not freed yet included.
+    /// Number of records, including expired ones that are not freed yet.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -187,23 +196,23 @@
         self.len() == 0
     }
 
-    /// Bytes that records and answers take, those taken over included.
+    /// Memory of records and answers in bytes, including outcomes handed over to this table.
     pub fn bytes(&self) -> usize {
-        self.records.bytes() + self.adopted.bytes()
+        self.records.bytes() + self.handed_over.bytes()
     }
 
-    /// Moves time on: closes expired windows and frees some of their records.
+    /// Advances the time, expires windows and frees some of their records.
     pub fn expire(&mut self, now: Micros) {
         self.now = self.now.max(now);
         let closed = (self.now - self.cfg.lifetime).0 / self.window_len();
         self.records.expire(u32::try_from(closed).unwrap_or(u32::MAX));
-        self.adopted.expire(self.now);
+        self.handed_over.expire(self.now);
     }
 
     fn resolve_not_run(&mut self, id: RecordId) -> Verdict {
         let Some(record) = self.records.get_mut(id) else { return Verdict::MayHaveRun };
         match record.state {
-            State::Admitted if record.own_key => record.state = State::Ready,
+            State::Admitted if record.is_caller_chosen => record.state = State::Ready,
             State::Admitted => self.records.remove(id),
             _ => {
                 self.close(id);
@@ -230,8 +239,8 @@
         u32::try_from(self.now.0 / self.window_len()).unwrap_or(u32::MAX)
     }
 
-    /// Span until the oldest window expires and makes room.
-    fn room_after(&self) -> Micros {
+    /// Time until the oldest window expires and its memory can be freed.
+    fn time_until_room(&self) -> Micros {
         let oldest = self.records.oldest_window().unwrap_or(self.window());
         let end = Micros((u64::from(oldest) + 1).saturating_mul(self.window_len()));
         (end + self.cfg.lifetime - self.now).max(self.cfg.retry_after)
--- a/crates/galenapath-filings/src/table/admit.rs
+++ b/crates/galenapath-filings/src/table/admit.rs
@@ -1,57 +1,59 @@
 //! Admission of a filing by its key.
 
-use super::{EARLY_WINDOWS, FilingTable};
+use super::{FilingTable, MAX_WINDOWS_AHEAD};
 use crate::record::{Record, State};
 use crate::{Answer, ClaimId, FilingKey, Fingerprint, KeyId, KeyKind, RecordId};
 use galenapath_protocol::{Incarnation, Micros};
 use std::sync::Arc;
 
-/// What to do with a filing that has come in.
+/// What to do with a filing that was received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum FilingDecision {
-    /// Dispatch it: a record is made, and whoever got this must resolve it.
+    /// Dispatch it. A record was created, which must be closed by [`FilingTable::resolve`].
     Run(RecordId),
-    /// The same filing is in progress under this record. Wait for its end and admit again, or tell
-    /// the caller "may have run", to send the same key again soon.
+    /// The same filing is in progress under this record. Wait for its end and admit again, or
+    /// answer "may have run", so that the caller resends the same key.
     InProgress(RecordId),
-    /// It ran; this is its answer.
+    /// The filing ran. Send this answer.
     Replay(Arc<Answer>),
-    /// It ran; only the status of its answer is known.
+    /// The filing ran, but only the status of its answer is known.
     AnsweredNotKept {
         /// HTTP status of the answer.
         status: u16,
     },
-    /// It may have run and is not dispatched.
+    /// The filing may have run and must not be dispatched.
     MayHaveRun,
-    /// The key belongs to another request; this one did not run.
+    /// The key is bound to another request. This one did not run.
     Mismatch,
-    /// No room for a new key, or the instance is stopping; it did not run.
+    /// The table is full or the instance is stopping. The filing did not run.
     Full {
-        /// Span after which there may be room.
+        /// Time after which a retry may be admitted.
         retry_after: Micros,
     },
-    /// Pass it to this incarnation; where that one is gone, to its successor; else "may have run".
+    /// Forward it to this incarnation or, if it no longer runs, to its successor. If neither can be
+    /// reached, answer "may have run".
     Forward(Incarnation),
-    /// Write this claim of a caller's own key to the store and report the result to
-    /// [`FilingTable::claim_result`].
+    /// Write this claim of a caller-chosen key to the store and pass the result to
+    /// [`FilingTable::apply_claim_result`].
     Claim(ClaimId),
-    /// An own key that cannot be claimed now. This try ran nowhere, but another instance may have
-    /// run the key earlier and only the store knows: tell the caller "may have run", to send the
-    /// same key again after the span.
+    /// A caller-chosen key that cannot be claimed now. This request did not run, but another
+    /// instance may have run the key earlier, which only the store can show. Answer "may have run",
+    /// so that the caller resends the same key after `retry_after`.
     Unclaimed {
-        /// Span after which a resend may succeed.
+        /// Time after which a resend may succeed.
         retry_after: Micros,
     },
-    /// The key's window is over, or cannot have been issued yet. Nothing is known: "may have run".
+    /// The key's window has expired or is too far ahead. Nothing is known of the filing: answer
+    /// "may have run".
     Expired,
 }
 
 impl FilingTable {
-    /// Admits a filing with its key and the fingerprint of its request.
+    /// Decides what to do with a filing, given its key and the fingerprint of its request.
     pub fn admit(&mut self, now: Micros, key: &FilingKey, fp: Fingerprint) -> FilingDecision {
         self.expire(now);
         match key.kind() {
-            KeyKind::Own => self.admit_own(key.id(), fp),
+            KeyKind::CallerChosen => self.admit_caller_chosen(key.id(), fp),
             KeyKind::Issued { incarnation, window } if self.owns(incarnation) => {
                 self.admit_issued(key.id(), window, fp)
             }
@@ -60,7 +62,7 @@
                     FilingDecision::MayHaveRun if !self.guards.successor_replays_only => {
                         self.admit_issued(key.id(), window, fp)
                     }
-                    admit => admit,
+                    decision => decision,
                 }
             }
         }
@@ -71,12 +73,12 @@
     }
 
     fn admit_issued(&mut self, key: KeyId, window: u32, fp: Fingerprint) -> FilingDecision {
-        let floor = self.records.floor();
-        let expired = window < floor && self.guards.expired_refused;
-        if expired || window > self.window().saturating_add(EARLY_WINDOWS) {
+        let first_live_window = self.records.first_live_window();
+        let expired = window < first_live_window && self.guards.expired_refused;
+        if expired || window > self.window().saturating_add(MAX_WINDOWS_AHEAD) {
             return FilingDecision::Expired;
         }
-        let window = window.max(floor);
+        let window = window.max(first_live_window);
         if let Some(id) = self.records.find(window, key) {
             return self.admit_known(id, fp);
         }
@@ -85,21 +87,21 @@
         }
         match self.open(window, key, fp, State::Admitted, false) {
             Some(id) => FilingDecision::Run(id),
-            None => FilingDecision::Full { retry_after: self.room_after() },
+            None => FilingDecision::Full { retry_after: self.time_until_room() },
         }
     }
 
-    /// A key that another incarnation dispatches.
+    /// Decides on a key that only another incarnation dispatches.
     pub(super) fn admit_elsewhere(
         &self,
         to: Incarnation,
         key: KeyId,
         fp: Fingerprint,
     ) -> FilingDecision {
-        self.adopted.admit(to, key, fp).unwrap_or(FilingDecision::Forward(to))
+        self.handed_over.admit(to, key, fp).unwrap_or(FilingDecision::Forward(to))
     }
 
-    /// A key that has a record here.
+    /// Decides on a key that has a record in this table.
     pub(super) fn admit_known(&mut self, id: RecordId, fp: Fingerprint) -> FilingDecision {
         let Some(record) = self.records.get_mut(id) else { return FilingDecision::MayHaveRun };
         let bound = record.binds_fingerprint() || !self.guards.unclaimed_unbound;
@@ -127,8 +129,8 @@
         }
     }
 
-    /// Runs a claimed key that did not run, under a new sequence number: the holder of the old id
-    /// can do nothing with it.
+    /// Dispatches a key that did not run before, under a new sequence number. This invalidates the
+    /// previous record id.
     fn run_again(&mut self, id: RecordId, fp: Fingerprint) -> FilingDecision {
         if self.stopping {
             return FilingDecision::Full { retry_after: self.cfg.retry_after };
@@ -141,17 +143,17 @@
         FilingDecision::Run(RecordId { seq, ..id })
     }
 
-    /// Makes a record; `None` if there is no room.
+    /// Creates a record. Returns `None` if the table is full.
     pub(super) fn open(
         &mut self,
         window: u32,
         key: KeyId,
         fp: Fingerprint,
         state: State,
-        own_key: bool,
+        is_caller_chosen: bool,
     ) -> Option<RecordId> {
         let seq = self.records.next_seq();
         let id = RecordId { seq, window, key };
-        self.insert(id, Record { seq, fp, own_key, state }).then_some(id)
+        self.insert(id, Record { seq, fp, is_caller_chosen, state }).then_some(id)
     }
 }
--- a/crates/galenapath-filings/src/table/claims.rs
+++ b/crates/galenapath-filings/src/table/claims.rs
@@ -1,4 +1,4 @@
-//! Callers' own keys: bound to an incarnation by a claim in the store.
+//! Caller-chosen keys, which are bound to an incarnation by a claim in the store.
 
 use super::FilingTable;
 use crate::claim::PendingClaim;
@@ -7,19 +7,21 @@
 use galenapath_protocol::{Incarnation, Micros};
 
 impl FilingTable {
-    /// Lease that a claim is written with.
+    /// Duration of the lease that a claim is written with.
     pub fn claim_lease(&self) -> Micros {
         self.cfg.claim_lease
     }
 
-    /// Longest time for which one lease may be used for new claims. A store that lets the holder of
-    /// a lease write over its own claim would else give a claim that outlived its record a new
-    /// number, and the key would run again.
+    /// Maximum time for which one lease may be used for new claims.
+    ///
+    /// A store may let the holder of a lease overwrite its own claim. Without the limit, a claim
+    /// whose record has expired could get a new number, and the key would run again.
     pub fn claim_lease_max_use(&self) -> Micros {
         self.cfg.lifetime
     }
 
-    /// Takes the store's word on a claim. Called once for each [`Admit::Claim`].
+    /// Applies the store's reply to a claim. Must be called once for each
+    /// [`FilingDecision::Claim`].
     pub fn apply_claim_result(
         &mut self,
         now: Micros,
@@ -39,92 +41,93 @@
         }
         let fp = record.fp;
         if stale && self.guards.stale_claim_refused {
-            return self.unclaimed(id, first);
+            return self.mark_unclaimed(id, first);
         }
         match result {
-            ClaimResult::Won => self.claimed(id),
+            ClaimResult::Won => self.admit_claimed(id),
             ClaimResult::Lost { incarnation, claim } if incarnation == self.incarnation => {
                 match claim >= first || !self.guards.claim_age_checked {
-                    true => self.claimed(id),
-                    false => self.outlived(id),
+                    true => self.admit_claimed(id),
+                    false => self.handle_old_claim(id),
                 }
             }
-            ClaimResult::Lost { incarnation, .. } => self.lost(id, incarnation, fp),
-            ClaimResult::Unknown => self.unclaimed(id, first),
+            ClaimResult::Lost { incarnation, .. } => self.handle_lost_claim(id, incarnation, fp),
+            ClaimResult::Unknown => self.mark_unclaimed(id, first),
             ClaimResult::StoreDown if claim == first => {
                 self.records.remove(id);
-                self.unclaimed(id, first)
+                self.mark_unclaimed(id, first)
             }
-            ClaimResult::StoreDown => self.unclaimed(id, first),
+            ClaimResult::StoreDown => self.mark_unclaimed(id, first),
         }
     }
 
-    pub(super) fn admit_own(&mut self, key: KeyId, fp: Fingerprint) -> FilingDecision {
-        if let Some(id) = self.records.find_any(key) {
+    pub(super) fn admit_caller_chosen(&mut self, key: KeyId, fp: Fingerprint) -> FilingDecision {
+        if let Some(id) = self.records.find_in_any_window(key) {
             return self.admit_known(id, fp);
         }
-        if let Some(admit) = self.adopted.admit_own(key, fp) {
-            return admit;
+        if let Some(decision) = self.handed_over.admit_caller_chosen(key, fp) {
+            return decision;
         }
         if !self.guards.own_key_claimed {
             let id = self.open(self.window(), key, fp, State::Admitted, true);
             return id.map_or(FilingDecision::MayHaveRun, FilingDecision::Run);
         }
-        if let Err(retry_after) = self.may_claim() {
-            return self.cannot_claim(retry_after);
+        if let Err(retry_after) = self.acquire_claim() {
+            return self.unclaimed_decision(retry_after);
         }
         let claim = self.next_claim();
         let state = State::Claiming { first: claim, latest: claim };
         match self.open(self.window(), key, fp, state, true) {
-            Some(id) => self.ask(id, claim),
-            None => self.cannot_claim(self.room_after()),
+            Some(id) => self.request_claim(id, claim),
+            None => self.unclaimed_decision(self.time_until_room()),
         }
     }
 
-    /// Claims again where an earlier claim's fate is not known.
+    /// Requests another claim when the result of an earlier one is unknown.
     pub(super) fn reclaim(
         &mut self,
         id: RecordId,
         first: ClaimId,
         fp: Fingerprint,
     ) -> FilingDecision {
-        if let Err(retry_after) = self.may_claim() {
-            return self.cannot_claim(retry_after);
+        if let Err(retry_after) = self.acquire_claim() {
+            return self.unclaimed_decision(retry_after);
         }
         let latest = self.next_claim();
         if let Some(record) = self.records.get_mut(id) {
             record.fp = fp;
             record.state = State::Claiming { first, latest };
         }
-        self.ask(id, latest)
+        self.request_claim(id, latest)
     }
 
-    /// Whether the store's word on a claim can still be acted on. One that never comes, because
-    /// whoever asked was cancelled, does not hold off resends for longer.
+    /// Whether the store's reply to a claim would still be used. A reply that never arrives,
+    /// because the request that wrote the claim was cancelled, blocks resends only for
+    /// `claim_timeout`.
     pub(super) fn is_awaited(&self, claim: ClaimId) -> bool {
         let pending = self.pending.get(&claim);
         pending.is_some_and(|pending| !self.is_stale(*pending))
     }
 
     fn is_stale(&self, pending: PendingClaim) -> bool {
-        self.now - pending.asked > self.cfg.claim_patience
+        self.now - pending.requested_at > self.cfg.claim_timeout
     }
 
-    fn ask(&mut self, id: RecordId, claim: ClaimId) -> FilingDecision {
+    fn request_claim(&mut self, id: RecordId, claim: ClaimId) -> FilingDecision {
         while let Some(oldest) = self.pending.first_entry()
-            && self.now - oldest.get().asked > self.cfg.claim_patience
+            && self.now - oldest.get().requested_at > self.cfg.claim_timeout
         {
             oldest.remove();
         }
-        self.pending.insert(claim, PendingClaim { record: id, asked: self.now });
+        self.pending.insert(claim, PendingClaim { record: id, requested_at: self.now });
         FilingDecision::Claim(claim)
     }
 
-    fn may_claim(&mut self) -> Result<(), Micros> {
+    fn acquire_claim(&mut self) -> Result<(), Micros> {
         if self.stopping {
             return Err(self.cfg.retry_after);
         }
-        self.budget.take(self.now)
+        self.budget.try_take(self.now)
     }
 
     fn next_claim(&mut self) -> ClaimId {
@@ -132,33 +135,38 @@
         ClaimId(self.next_claim)
     }
 
-    /// The store holds a claim of this record's life: the key is this incarnation's to dispatch.
-    fn claimed(&mut self, id: RecordId) -> FilingDecision {
+    /// The store holds a claim requested for this record: this incarnation dispatches the key.
+    fn admit_claimed(&mut self, id: RecordId) -> FilingDecision {
         let Some(record) = self.records.get_mut(id) else { return FilingDecision::MayHaveRun };
         record.state = State::Admitted;
         FilingDecision::Run(id)
     }
 
-    /// The store holds a claim from before this record: its own record has expired, and it may
-    /// have run. The new record goes too, since it knows no fingerprint.
-    fn outlived(&mut self, id: RecordId) -> FilingDecision {
+    /// The store holds a claim from before this record. The claim's own record has expired, so the
+    /// filing may have run. Removes the new record, which is not bound to a fingerprint.
+    fn handle_old_claim(&mut self, id: RecordId) -> FilingDecision {
         self.records.remove(id);
         FilingDecision::MayHaveRun
     }
 
-    fn lost(&mut self, id: RecordId, to: Incarnation, fp: Fingerprint) -> FilingDecision {
+    fn handle_lost_claim(
+        &mut self,
+        id: RecordId,
+        to: Incarnation,
+        fp: Fingerprint,
+    ) -> FilingDecision {
         self.records.remove(id);
         self.admit_elsewhere(to, id.key, fp)
     }
 
-    fn unclaimed(&mut self, id: RecordId, first: ClaimId) -> FilingDecision {
+    fn mark_unclaimed(&mut self, id: RecordId, first: ClaimId) -> FilingDecision {
         if let Some(record) = self.records.get_mut(id) {
             record.state = State::Unclaimed { first };
         }
-        self.cannot_claim(self.cfg.retry_after)
+        self.unclaimed_decision(self.cfg.retry_after)
     }
 
-    fn cannot_claim(&self, retry_after: Micros) -> FilingDecision {
+    fn unclaimed_decision(&self, retry_after: Micros) -> FilingDecision {
         match self.guards.unclaimed_not_denied {
             true => FilingDecision::Unclaimed { retry_after },
             false => FilingDecision::Full { retry_after },
--- a/crates/galenapath-filings/tests/key.rs
+++ b/crates/galenapath-filings/tests/key.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn parse_limits_refused() {
+fn parse_limits_rejected() {
     assert_eq!(FilingKey::try_from(""), Err(ParseKeyError::Empty));
     assert_eq!(FilingKey::try_from("a b"), Err(ParseKeyError::NotVisible(1)));
     let long = "x".repeat(256);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn parse_near_prefix_own() {
+fn parse_near_prefix_caller_chosen() {
     for text in [
         "00000000000000ff-1-",
         "00000000000000ff-01-x",
@@ -22,12 +22,12 @@
         "ff-1-x",
         "00000000000000ff-4294967296-x",
     ] {
-        assert_eq!(FilingKey::try_from(text).unwrap().kind(), KeyKind::Own, "{text}");
+        assert_eq!(FilingKey::try_from(text).unwrap().kind(), KeyKind::CallerChosen, "{text}");
     }
 }
 
 #[test]
-fn parse_workspace_own_identity() {
+fn parse_other_workspace_other_identity() {
     let (a, b) = (FilingKey::parse("a", "k").unwrap(), FilingKey::parse("b", "k").unwrap());
     assert_ne!(a.id(), b.id());
     assert_ne!(a.claim_path(), b.claim_path());
--- a/crates/galenapath-filings/tests/model/world.rs
+++ b/crates/galenapath-filings/tests/model/world.rs
@@ -1,4 +1,5 @@
-//! State of the world: instances, store, network, backend servers and what callers were told.
+//! State of the model: instances, store, network, backend servers and the verdicts that callers
+//! received.
 
 use galenapath_filings::{
     ClaimId, FilingConfig, FilingKey, FilingTable, Fingerprint, Guards, HandOverEntry, RecordId,
@@ -7,17 +8,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Ticks after which a claim's lease lapses.
-pub const LEASE: u64 = 4;
+/// Ticks after which a claim's lease expires.
+pub const LEASE_TICKS: u64 = 4;
 
-/// How far the exploration goes, and which guards are on.
+/// Limits of the exploration, and the guards that are on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Bounds {
     pub instances: usize,
     pub keys: usize,
-    /// The last so many keys are callers' own; the others are issued by instance 0.
-    pub own_keys: usize,
-    /// Window of the issued keys; one ahead comes from an instance whose clock is ahead.
+    /// Number of caller-chosen keys, which come last. The others are issued by instance 0.
+    pub caller_chosen_keys: usize,
+    /// Window of the issued keys. A value of 1 models an issuing instance whose clock is ahead.
     pub key_window: u32,
     pub fingerprints: u8,
     pub sends: u8,
@@ -25,10 +26,10 @@
     pub crashes: u8,
     pub stops: u8,
     pub store_faults: u8,
-    /// Attempts for a try, each at another backend server.
+    /// Attempts for one send, each at another backend server.
     pub attempts: u8,
-    /// Whether marking and writing are two steps, and late answers are awaited.
-    pub fine: bool,
+    /// Whether marking a record and writing the request are two steps, and late answers can arrive.
+    pub fine_steps: bool,
     pub max_records: usize,
     /// Ticks for which an instance writes its claims under one lease.
     pub lease_use: u64,
@@ -37,10 +38,10 @@
 
 impl Bounds {
     /// One issued key, two instances, no faults.
-    pub const ONE: Self = Self {
+    pub const BASE: Self = Self {
         instances: 2,
         keys: 1,
-        own_keys: 0,
+        caller_chosen_keys: 0,
         key_window: 0,
         fingerprints: 1,
         sends: 2,
@@ -49,7 +50,7 @@
         stops: 0,
         store_faults: 0,
         attempts: 2,
-        fine: true,
+        fine_steps: true,
         max_records: 8,
         lease_use: 1,
         guards: Guards::ON,
@@ -58,26 +59,26 @@
 
 /// One send of a filing by a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Try {
+pub struct CallerSend {
     pub number: u8,
     pub key: usize,
     pub fp: u8,
 }
 
-/// What an instance is doing for a try.
+/// Stage of an instance's work on a send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// `direct` tells a try that came from its caller from one that was passed on.
+    /// `direct` is true if the send came from its caller and was not forwarded.
     Claiming {
         claim: ClaimId,
-        asked: u64,
+        requested_at: u64,
         direct: bool,
     },
     Admitted {
         id: RecordId,
         attempt: u8,
     },
-    /// The record is marked as sent; the first byte has not left yet.
+    /// The record is marked as sent. The first byte has not been sent yet.
     Marked {
         id: RecordId,
         attempt: u8,
@@ -86,7 +87,7 @@
         id: RecordId,
         attempt: u8,
     },
-    /// Given up; a late answer may still come.
+    /// Given up. A late answer may still arrive.
     GivenUp {
         id: RecordId,
         attempt: u8,
@@ -97,7 +98,7 @@
 pub struct Instance {
     pub incarnation: Incarnation,
     pub table: FilingTable,
-    pub tasks: BTreeSet<(Try, Stage)>,
+    pub tasks: BTreeSet<(CallerSend, Stage)>,
     pub stopping: bool,
     pub handed_over: bool,
 }
@@ -112,18 +113,18 @@
 }
 
 impl Claim {
-    /// The store lets the holder of a lease write over what the same lease holds.
+    /// Whether both were written under one lease, whose holder may overwrite its claims.
     pub fn same_lease(&self, other: &Self) -> bool {
         (self.by, self.lease) == (other.by, other.lease)
     }
 }
 
-/// A request at or on its way to a backend server.
+/// A request at a backend server or on its way to one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Request {
-    Flying,
+    InFlight,
     Ran,
-    Refused,
+    Rejected,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -135,23 +136,23 @@
     pub crashes: u8,
     pub stops: u8,
     pub store_faults: u8,
-    /// Claims that the store holds, with the tick at which each landed.
+    /// Claims that the store holds, with the tick at which each was created.
     pub claims: BTreeMap<usize, (Claim, u64)>,
     /// Claim writes on their way to the store.
     pub writes: BTreeSet<(usize, Claim)>,
-    /// Tries passed on to an incarnation.
-    pub forwards: BTreeSet<(Try, Incarnation)>,
-    pub requests: BTreeMap<(Try, u8, Incarnation), Request>,
+    /// Sends that are being forwarded to an incarnation.
+    pub forwards: BTreeSet<(CallerSend, Incarnation)>,
+    pub requests: BTreeMap<(CallerSend, u8, Incarnation), Request>,
     /// Outcomes on their way to successors, by receiving instance.
     pub hand_overs: BTreeSet<(usize, Incarnation)>,
-    pub estates: BTreeMap<Incarnation, Rc<Vec<HandOverEntry>>>,
+    pub handed_over_outcomes: BTreeMap<Incarnation, Rc<Vec<HandOverEntry>>>,
     pub runs: BTreeMap<(usize, u8), u8>,
-    /// Tries whose callers were told "not run".
-    pub denied: BTreeSet<Try>,
-    pub broken: Option<&'static str>,
+    /// Sends whose callers received "not run".
+    pub answered_not_run: BTreeSet<CallerSend>,
+    pub violation: Option<&'static str>,
 }
 
-pub fn at(tick: u64) -> Micros {
+pub fn tick_time(tick: u64) -> Micros {
     Micros::from_secs(tick)
 }
 
@@ -162,29 +163,29 @@
 impl Bounds {
     fn config(&self) -> FilingConfig {
         FilingConfig {
-            window: at(1),
-            lifetime: at(1),
-            claim_lease: at(LEASE),
-            claim_patience: Micros::ZERO,
+            window: tick_time(1),
+            lifetime: tick_time(1),
+            claim_lease: tick_time(LEASE_TICKS),
+            claim_timeout: Micros::ZERO,
             claims_per_sec: u32::MAX,
             max_bytes: self.max_records * 128,
             ..FilingConfig::default()
         }
     }
 
-    pub fn instance(&self, place: usize, generation: u8) -> Instance {
-        let incarnation = Incarnation(place as u64 * 16 + u64::from(generation));
+    pub fn instance(&self, index: usize, generation: u8) -> Instance {
+        let incarnation = Incarnation(index as u64 * 16 + u64::from(generation));
         let table = FilingTable::with_guards(self.config(), incarnation, self.guards);
         let tasks = BTreeSet::new();
         Instance { incarnation, table, tasks, stopping: false, handed_over: false }
     }
 
-    pub fn is_own(&self, number: usize) -> bool {
-        number + self.own_keys >= self.keys
+    pub fn is_caller_chosen(&self, number: usize) -> bool {
+        number + self.caller_chosen_keys >= self.keys
     }
 
     pub fn key(&self, number: usize) -> FilingKey {
-        let text = match self.is_own(number) {
+        let text = match self.is_caller_chosen(number) {
             true => format!("own-{number}"),
             false => format!("{}-{}-{number}", Incarnation(0), self.key_window),
         };
@@ -208,76 +209,77 @@
             forwards: BTreeSet::new(),
             requests: BTreeMap::new(),
             hand_overs: BTreeSet::new(),
-            estates: BTreeMap::new(),
+            handed_over_outcomes: BTreeMap::new(),
             runs: BTreeMap::new(),
-            denied: BTreeSet::new(),
-            broken: None,
+            answered_not_run: BTreeSet::new(),
+            violation: None,
         }
     }
 
-    pub fn table(&mut self, place: usize) -> &mut FilingTable {
-        &mut self.instance(place).table
+    pub fn table(&mut self, index: usize) -> &mut FilingTable {
+        &mut self.instance(index).table
     }
 
-    pub fn instance(&mut self, place: usize) -> &mut Instance {
-        Rc::make_mut(&mut self.instances[place])
+    pub fn instance(&mut self, index: usize) -> &mut Instance {
+        Rc::make_mut(&mut self.instances[index])
     }
 
     pub fn key_runs(&self, key: usize) -> u8 {
         self.runs.iter().filter(|((k, _), _)| *k == key).map(|(_, n)| n).sum()
     }
 
-    /// Drops what can have no effect any more, so that states that act alike are equal.
+    /// Removes state that can have no effect any more, so that equivalent states are equal.
     pub fn normalise(&mut self) {
-        let Self { instances, requests, forwards, denied, hand_overs, .. } = self;
+        let Self { instances, requests, forwards, answered_not_run, hand_overs, .. } = self;
         requests.retain(|(t, attempt, by), request| {
-            let awaits = |(other, stage): &(Try, Stage)| {
+            let awaits = |(other, stage): &(CallerSend, Stage)| {
                 other == t
                     && matches!(stage, Stage::Waiting { attempt: n, .. }
                     | Stage::GivenUp { attempt: n, .. } if n == attempt)
             };
             let mut owner = instances.iter().filter(|i| i.incarnation == *by);
-            *request == Request::Flying || owner.any(|i| i.tasks.iter().any(awaits))
+            *request == Request::InFlight || owner.any(|i| i.tasks.iter().any(awaits))
         });
-        denied.retain(|t| {
+        answered_not_run.retain(|t| {
             forwards.iter().any(|(other, _)| other == t)
                 || requests.keys().any(|(other, ..)| other == t)
                 || instances.iter().any(|i| i.tasks.iter().any(|(other, _)| other == t))
         });
-        if self.bounds.ticks < LEASE {
-            // No lease lapses: a write that finds another's claim never has an effect.
+        if self.bounds.ticks < LEASE_TICKS {
+            // No lease expires, so a write that finds a claim of another lease has no effect.
             let claims = &self.claims;
             let effect = |held: &(Claim, u64), claim: &Claim| held.0.same_lease(claim);
             self.writes.retain(|(key, c)| claims.get(key).is_none_or(|held| effect(held, c)));
         }
-        self.estates.retain(|from, _| hand_overs.iter().any(|(_, other)| other == from));
+        self.handed_over_outcomes
+            .retain(|from, _| hand_overs.iter().any(|(_, other)| other == from));
     }
 
-    /// A caller is told that this try did not run.
-    pub fn deny(&mut self, t: Try) {
-        self.denied.insert(t);
+    /// A caller receives "not run" for this send.
+    pub fn answer_not_run(&mut self, t: CallerSend) {
+        self.answered_not_run.insert(t);
         if self.runs.contains_key(&(t.key, t.fp)) {
-            self.broken = Some("\"not run\" told of a request that ran");
+            self.violation = Some("\"not run\" reported for a request that ran");
         }
     }
 
-    /// A caller gets the answer of the request `(key, fp)`, or only that it ran.
-    pub fn answer(&mut self, t: Try, body: &[u8]) {
+    /// A caller receives an answer with `body`.
+    pub fn answer(&mut self, t: CallerSend, body: &[u8]) {
         if body != [t.key as u8, t.fp] {
-            self.broken = Some("the answer of another request replayed");
+            self.violation = Some("the answer of another request replayed");
         } else if !self.runs.contains_key(&(t.key, t.fp)) {
-            self.broken = Some("answered told of a request that did not run");
+            self.violation = Some("an answer reported for a request that did not run");
         }
     }
 
     /// A backend server runs the request.
-    pub fn run(&mut self, t: Try) {
+    pub fn run(&mut self, t: CallerSend) {
         *self.runs.entry((t.key, t.fp)).or_default() += 1;
         if self.key_runs(t.key) > 1 {
-            self.broken = Some("a key ran twice");
+            self.violation = Some("a key ran twice");
         }
-        if self.denied.contains(&t) {
-            self.broken = Some("a try ran after \"not run\" was told of it");
+        if self.answered_not_run.contains(&t) {
+            self.violation = Some("a send ran after \"not run\" was reported for it");
         }
     }
 }
--- a/crates/galenapath-filings/tests/model_mutations.rs
+++ b/crates/galenapath-filings/tests/model_mutations.rs
@@ -1,20 +1,21 @@
-//! Each guard of the filing protocol turned off: the checker finds what it protects against.
+//! With any guard of the filing protocol off, the model checker finds the violation that the guard
+//! prevents.
 
 mod model;
 
 use galenapath_filings::Guards;
-use model::violated;
+use model::find_violation;
 use model::world::Bounds;
 
 const ON: Guards = Guards::ON;
 const TWICE: &str = "a key ran twice";
-const DENIED: &str = "\"not run\" told of a request that ran";
+const NOT_RUN: &str = "\"not run\" reported for a request that ran";
 const FOREIGN: &str = "the answer of another request replayed";
-const ISSUED: Bounds = Bounds { sends: 2, ..Bounds::ONE };
-const OWN: Bounds = Bounds { attempts: 1, own_keys: 1, ..ISSUED };
+const ISSUED: Bounds = Bounds { sends: 2, ..Bounds::BASE };
+const CALLER_CHOSEN: Bounds = Bounds { attempts: 1, caller_chosen_keys: 1, ..ISSUED };
 
 fn off(name: &str, guards: Guards, bounds: Bounds, by: &str) {
-    violated(name, Bounds { guards, ..bounds }, by);
+    find_violation(name, Bounds { guards, ..bounds }, by);
 }
 
 #[test]
@@ -24,7 +25,7 @@
 
 #[test]
 fn own_key_claimed_off() {
-    off("own_key_claimed", Guards { own_key_claimed: false, ..ON }, OWN, TWICE);
+    off("own_key_claimed", Guards { own_key_claimed: false, ..ON }, CALLER_CHOSEN, TWICE);
 }
 
 #[test]
@@ -52,19 +53,19 @@
 
 #[test]
 fn claim_age_checked_off() {
-    let b = Bounds { ticks: 2, ..OWN };
+    let b = Bounds { ticks: 2, ..CALLER_CHOSEN };
     off("claim_age_checked", Guards { claim_age_checked: false, ..ON }, b, TWICE);
 }
 
 #[test]
 fn stale_claim_refused_off() {
-    let b = Bounds { ticks: 4, fine: false, ..OWN };
+    let b = Bounds { ticks: 4, fine_steps: false, ..CALLER_CHOSEN };
     off("stale_claim_refused", Guards { stale_claim_refused: false, ..ON }, b, TWICE);
 }
 
 #[test]
 fn sent_checked_off() {
-    let b = Bounds { ticks: 4, fine: false, ..OWN };
+    let b = Bounds { ticks: 4, fine_steps: false, ..CALLER_CHOSEN };
     off("sent_checked", Guards { sent_checked: false, ..ON }, b, TWICE);
 }
 
@@ -82,18 +83,19 @@
 
 #[test]
 fn unclaimed_not_denied_off() {
-    let b = Bounds { store_faults: 1, ..OWN };
-    off("unclaimed_not_denied", Guards { unclaimed_not_denied: false, ..ON }, b, DENIED);
+    let b = Bounds { store_faults: 1, ..CALLER_CHOSEN };
+    off("unclaimed_not_denied", Guards { unclaimed_not_denied: false, ..ON }, b, NOT_RUN);
 }
 
 #[test]
 fn unclaimed_unbound_off() {
-    let b = Bounds { fingerprints: 2, sends: 3, fine: false, ..OWN };
-    off("unclaimed_unbound", Guards { unclaimed_unbound: false, ..ON }, b, DENIED);
+    let b = Bounds { fingerprints: 2, sends: 3, fine_steps: false, ..CALLER_CHOSEN };
+    off("unclaimed_unbound", Guards { unclaimed_unbound: false, ..ON }, b, NOT_RUN);
 }
 
-/// Not a guard of the table but a duty of its user: see `FilingTable::claim_lease_use`.
+/// This limit is not a guard of the table. Its user must respect it: see
+/// `FilingTable::claim_lease_max_use`.
 #[test]
 fn claim_lease_used_too_long() {
-    violated("claim_lease_use", Bounds { ticks: 2, lease_use: 9, ..OWN }, TWICE);
+    find_violation("claim_lease_use", Bounds { ticks: 2, lease_use: 9, ..CALLER_CHOSEN }, TWICE);
 }
--- a/crates/galenapath-filings/tests/table.rs
+++ b/crates/galenapath-filings/tests/table.rs
@@ -1,4 +1,4 @@
-//! Tests of the filing table: single steps.
+//! Tests of single operations of the filing table.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests")]
 
@@ -24,7 +24,7 @@
     FilingKey::try_from(text.as_str()).unwrap()
 }
 
-fn own(text: &str) -> FilingKey {
+fn caller_chosen(text: &str) -> FilingKey {
     FilingKey::try_from(text).unwrap()
 }
 
@@ -32,15 +32,15 @@
     Answer { status: 201, headers: Vec::new(), body: Bytes::from(vec![7; len]) }
 }
 
-fn run(admit: FilingDecision) -> RecordId {
-    match admit {
+fn run(decision: FilingDecision) -> RecordId {
+    match decision {
         FilingDecision::Run(id) => id,
         other => panic!("expected Run, got {other:?}"),
     }
 }
 
-fn claim(admit: FilingDecision) -> ClaimId {
-    match admit {
+fn claim(decision: FilingDecision) -> ClaimId {
+    match decision {
         FilingDecision::Claim(id) => id,
         other => panic!("expected Claim, got {other:?}"),
     }
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn admit_in_progress_held() {
+fn admit_in_progress_returns_record() {
     let mut t = table();
     let key = issued(&mut t, T0, "a");
     let id = run(t.admit(T0, &key, FP));
@@ -86,19 +86,19 @@
 #[test]
 fn admit_future_window_expired() {
     let mut t = table();
-    assert_eq!(t.admit(T0, &own("000000000000000a-7-x"), FP), FilingDecision::Expired);
+    assert_eq!(t.admit(T0, &caller_chosen("000000000000000a-7-x"), FP), FilingDecision::Expired);
 }
 
 #[test]
 fn admit_key_issued_by_peer_runs() {
     let mut peer = FilingTable::new(FilingConfig::default(), PEER);
     let ahead = T0 + FilingConfig::default().window;
-    let key = own(&(peer.key_prefix_for(ahead, ME) + "a"));
+    let key = caller_chosen(&(peer.key_prefix_for(ahead, ME) + "a"));
     run(table().admit(T0, &key, FP));
 }
 
 #[test]
-fn admit_expired_window_refused() {
+fn admit_expired_window_rejected() {
     let mut t = table();
     let key = issued(&mut t, T0, "a");
     answered(&mut t, T0, &key, 3);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn attempt_ended_refused_sent_again() {
+fn record_attempt_end_rejected_retried() {
     let mut t = table();
     let key = issued(&mut t, T0, "a");
     let id = run(t.admit(T0, &key, FP));
@@ -158,31 +158,31 @@
 }
 
 #[test]
-fn admit_full_refused_and_answers_make_room() {
+fn admit_full_rejected_and_answers_dropped() {
     let cfg = FilingConfig { max_bytes: 1_000, ..FilingConfig::default() };
     let mut t = FilingTable::new(cfg, ME);
     let key = issued(&mut t, T0, "a");
     answered(&mut t, T0, &key, 300);
-    let mut refused = 0;
+    let mut rejected = 0;
     for n in 0..20 {
         let fresh = issued(&mut t, T0, &n.to_string());
-        refused += usize::from(matches!(t.admit(T0, &fresh, FP), FilingDecision::Full { .. }));
+        rejected += usize::from(matches!(t.admit(T0, &fresh, FP), FilingDecision::Full { .. }));
     }
-    assert!(refused > 0, "the table never filled");
+    assert!(rejected > 0, "the table was never full");
     assert_eq!(t.admit(T0, &key, FP), FilingDecision::AnsweredNotKept { status: 201 });
 }
 
 #[test]
 fn claim_won_runs() {
     let mut t = table();
-    let id = claim(t.admit(T0, &own("booking-1"), FP));
+    let id = claim(t.admit(T0, &caller_chosen("booking-1"), FP));
     run(t.apply_claim_result(T0, id, ClaimResult::Won));
 }
 
 #[test]
 fn claim_lost_forwarded() {
     let mut t = table();
-    let id = claim(t.admit(T0, &own("booking-1"), FP));
+    let id = claim(t.admit(T0, &caller_chosen("booking-1"), FP));
     let lost = ClaimResult::Lost { incarnation: PEER, claim: ClaimId(1) };
     assert_eq!(t.apply_claim_result(T0, id, lost), FilingDecision::Forward(PEER));
 }
@@ -190,20 +190,20 @@
 #[test]
 fn claim_unknown_resolved_by_resend() {
     let mut t = table();
-    let first = claim(t.admit(T0, &own("booking-1"), FP));
+    let first = claim(t.admit(T0, &caller_chosen("booking-1"), FP));
     assert!(matches!(
         t.apply_claim_result(T0, first, ClaimResult::Unknown),
         FilingDecision::Unclaimed { .. }
     ));
-    let second = claim(t.admit(T0, &own("booking-1"), FP));
+    let second = claim(t.admit(T0, &caller_chosen("booking-1"), FP));
     let held = ClaimResult::Lost { incarnation: ME, claim: first };
     run(t.apply_claim_result(T0, second, held));
 }
 
 #[test]
-fn claim_of_earlier_life_may_have_run() {
+fn claim_older_than_record_may_have_run() {
     let mut t = table();
-    let key = own("booking-1");
+    let key = caller_chosen("booking-1");
     let first = claim(t.admit(T0, &key, FP));
     let id = run(t.apply_claim_result(T0, first, ClaimResult::Won));
     t.mark_sent(T0, id).unwrap();
@@ -217,10 +217,10 @@
 #[test]
 fn claim_never_reported_claimed_again() {
     let mut t = table();
-    let key = own("booking-1");
+    let key = caller_chosen("booking-1");
     let first = claim(t.admit(T0, &key, FP));
     assert!(matches!(t.admit(T0, &key, FP), FilingDecision::InProgress(_)));
-    let later = T0 + FilingConfig::default().claim_patience + Micros(1);
+    let later = T0 + FilingConfig::default().claim_timeout + Micros(1);
     let second = claim(t.admit(later, &key, FP));
     assert_eq!(t.apply_claim_result(later, first, ClaimResult::Won), FilingDecision::MayHaveRun);
     run(t.apply_claim_result(later, second, ClaimResult::Lost { incarnation: ME, claim: first }));
@@ -229,8 +229,8 @@
 #[test]
 fn claim_burst_limited() {
     let mut t = table();
-    let admits = (0..100).map(|n| t.admit(T0, &own(&format!("k{n}")), FP));
-    let claims = admits.filter(|a| matches!(a, FilingDecision::Claim(_))).count();
+    let decisions = (0..100).map(|n| t.admit(T0, &caller_chosen(&format!("k{n}")), FP));
+    let claims = decisions.filter(|a| matches!(a, FilingDecision::Claim(_))).count();
     assert_eq!(claims, FilingConfig::default().claims_per_sec as usize);
 }
 
--- a/crates/galenapath-filings/tests/table_random.rs
+++ b/crates/galenapath-filings/tests/table_random.rs
@@ -1,4 +1,4 @@
-//! Property tests of the filing table: random sequences of events.
+//! Property tests of the filing table with random sequences of events.
 
 #![allow(clippy::expect_used, reason = "helpers of tests")]
 
@@ -12,16 +12,16 @@
 
 const ME: Incarnation = Incarnation(0xa);
 const MAX_BYTES: usize = 4_096;
-const MAX_ADOPTED: usize = 1_024;
+const MAX_HANDED_OVER: usize = 1_024;
 
 #[derive(Clone, Debug)]
 enum Event {
-    Admit { window: u32, nonce: u8, own: bool, fp: u8 },
+    Admit { window: u32, nonce: u8, caller_chosen: bool, fp: u8 },
     Sent(usize),
     Attempt(usize, AttemptEnd),
     Resolve(usize, u8, usize),
     Claim(usize, u8),
-    Adopt(u8, usize),
+    ApplyHandOver(u8, usize),
     Wait(u64),
 }
 
@@ -33,12 +33,14 @@
     ];
     prop_oneof![
         6 => (0..6_u32, 0..8_u8, any::<bool>(), 0..2_u8)
-            .prop_map(|(window, nonce, own, fp)| Event::Admit { window, nonce, own, fp }),
+            .prop_map(|(window, nonce, caller_chosen, fp)| {
+                Event::Admit { window, nonce, caller_chosen, fp }
+            }),
         4 => (0..64_usize).prop_map(Event::Sent),
         2 => (0..64_usize, end).prop_map(|(n, end)| Event::Attempt(n, end)),
         4 => (0..64_usize, 0..3_u8, 0..2_000_usize).prop_map(|(n, end, len)| Event::Resolve(n, end, len)),
         3 => (0..64_usize, 0..5_u8).prop_map(|(n, result)| Event::Claim(n, result)),
-        1 => (0..8_u8, 0..600_usize).prop_map(|(nonce, len)| Event::Adopt(nonce, len)),
+        1 => (0..8_u8, 0..600_usize).prop_map(|(nonce, len)| Event::ApplyHandOver(nonce, len)),
         1 => (0..900_u64).prop_map(Event::Wait),
     ]
 }
@@ -47,12 +49,12 @@
     Answer { status: 201, headers: Vec::new(), body: Bytes::from(vec![fp; len + 1]) }
 }
 
-/// A table with what its user holds: open records and claims with their fingerprints.
+/// A table with the open records and claims that its user holds, with their fingerprints.
 struct Harness {
     table: FilingTable,
     now: Micros,
     open: Vec<(RecordId, u8)>,
-    /// Records whose bytes have left and that were not proven to be not run.
+    /// Records marked as sent for which "not run" has not been recorded since.
     sent: Vec<RecordId>,
     claims: Vec<(ClaimId, u8)>,
 }
@@ -64,7 +66,7 @@
             lifetime: Micros::from_secs(1_200),
             max_bytes: MAX_BYTES,
             max_answer_bytes: 1_500,
-            max_adopted_bytes: MAX_ADOPTED,
+            max_handed_over_bytes: MAX_HANDED_OVER,
             ..FilingConfig::default()
         };
         let table = FilingTable::new(cfg, ME);
@@ -72,8 +74,8 @@
         Self { table, now, open: Vec::new(), sent: Vec::new(), claims: Vec::new() }
     }
 
-    fn admitted(&mut self, admit: FilingDecision, fp: u8) -> Result<(), TestCaseError> {
-        match admit {
+    fn admitted(&mut self, decision: FilingDecision, fp: u8) -> Result<(), TestCaseError> {
+        match decision {
             FilingDecision::Run(id) => self.open.push((id, fp)),
             FilingDecision::Claim(claim) => self.claims.push((claim, fp)),
             FilingDecision::Replay(a) => {
@@ -84,17 +86,18 @@
         Ok(())
     }
 
-    fn key(window: u32, nonce: u8, own: bool) -> FilingKey {
-        let text = if own { format!("own-{nonce}") } else { format!("{ME}-{window}-{nonce}") };
+    fn key(window: u32, nonce: u8, caller_chosen: bool) -> FilingKey {
+        let text =
+            if caller_chosen { format!("own-{nonce}") } else { format!("{ME}-{window}-{nonce}") };
         FilingKey::try_from(text.as_str()).expect("valid")
     }
 
     fn step(&mut self, event: Event) -> Result<(), TestCaseError> {
         match event {
-            Event::Admit { window, nonce, own, fp } => {
-                let key = Self::key(window, nonce, own);
-                let admit = self.table.admit(self.now, &key, Fingerprint(fp.into()));
-                self.admitted(admit, fp)?;
+            Event::Admit { window, nonce, caller_chosen, fp } => {
+                let key = Self::key(window, nonce, caller_chosen);
+                let decision = self.table.admit(self.now, &key, Fingerprint(fp.into()));
+                self.admitted(decision, fp)?;
             }
             Event::Sent(n) if !self.open.is_empty() => {
                 let (id, _) = self.open[n % self.open.len()];
@@ -120,14 +123,14 @@
                     3 => ClaimResult::Unknown,
                     _ => ClaimResult::StoreDown,
                 };
-                let admit = self.table.apply_claim_result(self.now, claim, result);
-                self.admitted(admit, fp)?;
+                let decision = self.table.apply_claim_result(self.now, claim, result);
+                self.admitted(decision, fp)?;
             }
-            Event::Adopt(nonce, len) => self.adopt(nonce, len),
+            Event::ApplyHandOver(nonce, len) => self.apply_hand_over(nonce, len),
             Event::Wait(secs) => self.now = self.now + Micros::from_secs(secs),
             _ => {}
         }
-        prop_assert!(self.table.bytes() <= MAX_BYTES + MAX_ADOPTED, "over the limit");
+        prop_assert!(self.table.bytes() <= MAX_BYTES + MAX_HANDED_OVER, "over the limit");
         Ok(())
     }
 
@@ -140,11 +143,11 @@
             _ => FilingEnd::Answered(answer(fp, len)),
         };
         let verdict = self.table.resolve(self.now, id, end);
-        prop_assert!(!was_sent || verdict != Verdict::NotRun, "\"not run\" after bytes left");
+        prop_assert!(!was_sent || verdict != Verdict::NotRun, "\"not run\" after bytes were sent");
         Ok(())
     }
 
-    fn adopt(&mut self, nonce: u8, len: usize) {
+    fn apply_hand_over(&mut self, nonce: u8, len: usize) {
         let peer = Incarnation(0xb);
         let mut other = FilingTable::new(FilingConfig::default(), peer);
         let text = other.key_prefix(self.now) + &nonce.to_string();
@@ -158,7 +161,7 @@
 
 proptest! {
     #[test]
-    fn events_random_promises_kept(events in prop::collection::vec(event(), 1..200)) {
+    fn events_random_invariants_hold(events in prop::collection::vec(event(), 1..200)) {
         let mut harness = Harness::new();
         for event in events {
             harness.step(event)?;
@@ -168,8 +171,8 @@
     #[test]
     fn expire_all_empty(nonces in prop::collection::vec((any::<u8>(), any::<bool>()), 1..400)) {
         let mut h = Harness::new();
-        for (nonce, own) in nonces {
-            h.step(Event::Admit { window: 0, nonce, own, fp: 0 })?;
+        for (nonce, caller_chosen) in nonces {
+            h.step(Event::Admit { window: 0, nonce, caller_chosen, fp: 0 })?;
         }
         let late = h.now + Micros::from_secs(3_600);
         (0..20).for_each(|_| h.table.expire(late));
