--- a/crates/galenapath-entry/src/data/commands.rs
+++ b/crates/galenapath-entry/src/data/commands.rs
@@ -3,7 +3,7 @@
 use super::explain::Explanation;
 use super::plane::DataPlane;
 use flume::{Receiver, Sender};
-use galenapath_filings::{HandOver, SuspectWire};
+use galenapath_filings::{HandOverEntry, SuspectReport};
 use galenapath_protocol::Incarnation;
 use std::rc::Rc;
 
@@ -17,13 +17,13 @@
         reply: Sender<Option<Explanation>>,
     },
     /// Merges what another instance knows of crash suspects.
-    MergeSuspects(Vec<SuspectWire>),
+    MergeSuspects(Vec<SuspectReport>),
     /// Applies the filing outcomes handed over by an incarnation that is stopping.
     ApplyHandOver {
         /// The incarnation that is stopping.
         from: Incarnation,
         /// The outcomes of its filings.
-        outcomes: Vec<HandOver>,
+        outcomes: Vec<HandOverEntry>,
     },
     /// Rejects new filings from now on, because the instance is stopping.
     BeginStop,
@@ -36,7 +36,7 @@
     /// then on.
     HandOver {
         /// Receives the outcomes.
-        reply: Sender<Vec<HandOver>>,
+        reply: Sender<Vec<HandOverEntry>>,
     },
 }
 
@@ -56,7 +56,7 @@
         }
         DataCommand::MergeSuspects(reports) => plane.suspects.borrow_mut().merge(now, &reports),
         DataCommand::ApplyHandOver { from, outcomes } => {
-            plane.filings.borrow_mut().adopt(now, from, outcomes);
+            plane.filings.borrow_mut().apply_hand_over(now, from, outcomes);
         }
         DataCommand::BeginStop => plane.filings.borrow_mut().begin_stop(),
         DataCommand::InProgress { reply } => {
--- a/crates/galenapath-entry/src/data/crash.rs
+++ b/crates/galenapath-entry/src/data/crash.rs
@@ -74,7 +74,7 @@
     let running = backend.running.running.borrow();
     let now = plane.now();
     let mut suspects = plane.suspects.borrow_mut();
-    suspects.crashed(now, name, &running);
+    suspects.record_crash(now, name, &running);
     let (told, rx) = flume::bounded(1);
     let crash = CrashNote { facts: suspects.export(now), told };
     let _ = plane.events.try_send(ControlEvent::Crash(crash));
@@ -99,19 +99,19 @@
 
 impl Drop for IsolatedRun<'_> {
     fn drop(&mut self) {
-        self.plane.suspects.borrow_mut().trial_ended(self.fp);
+        self.plane.suspects.borrow_mut().end_isolated_run(self.fp);
     }
 }
 
 /// Returns how a request may run. For a suspect that may run isolated, the isolated run begins.
 pub(super) fn check_permission(plane: &DataPlane, fp: Fingerprint) -> RunPermission<'_> {
     let mut suspects = plane.suspects.borrow_mut();
-    match suspects.judge(plane.now(), fp) {
+    match suspects.check(plane.now(), fp) {
         SuspectVerdict::Clear => RunPermission::Unrestricted,
-        SuspectVerdict::RunAlone => {
-            suspects.trial_started(fp);
+        SuspectVerdict::RunIsolated => {
+            suspects.begin_isolated_run(fp);
             RunPermission::Isolated(IsolatedRun { plane, fp })
         }
-        rejection @ SuspectVerdict::Refuse { .. } => RunPermission::Rejected(rejection),
+        rejection @ SuspectVerdict::Reject { .. } => RunPermission::Rejected(rejection),
     }
 }
--- a/crates/galenapath-entry/src/data/error_answers.rs
+++ b/crates/galenapath-entry/src/data/error_answers.rs
@@ -62,8 +62,8 @@
 /// Returns the answer to a request that is rejected as a crash suspect.
 pub(super) fn suspect(verdict: SuspectVerdict) -> OwnAnswer {
     let retry_after = match verdict {
-        SuspectVerdict::Refuse { retry_after } => retry_after,
-        SuspectVerdict::Clear | SuspectVerdict::RunAlone => NO_BACKEND_RETRY_AFTER,
+        SuspectVerdict::Reject { retry_after } => retry_after,
+        SuspectVerdict::Clear | SuspectVerdict::RunIsolated => NO_BACKEND_RETRY_AFTER,
     };
     OwnAnswer::not_run(
         StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/galenapath-filings/examples/capacity.rs
+++ b/crates/galenapath-filings/examples/capacity.rs
@@ -1,12 +1,13 @@
-//! Measures what filing records cost: bytes for each record, and time for each step.
+//! Measures the memory of filing records and the time of each operation.
 //!
 //! `cargo run --release -p galenapath-filings --example capacity -- [records] [answer bytes]`
 
-#![allow(clippy::unwrap_used, reason = "a measurement stops on the first fault")]
+#![allow(clippy::unwrap_used, reason = "a benchmark stops at the first error")]
 
 use bytes::Bytes;
 use galenapath_filings::{
-    Admit, Answer, End, FilingConfig, FilingKey, FilingTable, Fingerprint, SuspectConfig, Suspects,
+    Answer, FilingConfig, FilingDecision, FilingEnd, FilingKey, FilingTable, Fingerprint,
+    SuspectConfig, Suspects,
 };
 use galenapath_protocol::{Incarnation, Micros};
 use std::time::Instant;
@@ -33,7 +34,7 @@
 }
 
 fn keys(table: &mut FilingTable, n: usize) -> Vec<FilingKey> {
-    let prefix = table.prefix(NOW);
+    let prefix = table.key_prefix(NOW);
     (0..n).map(|n| FilingKey::try_from(format!("{prefix}{n:032}").as_str()).unwrap()).collect()
 }
 
@@ -42,11 +43,13 @@
     let before = resident();
     let start = Instant::now();
     for (n, key) in keys.iter().enumerate() {
-        let Admit::Run(id) = table.admit(NOW, key, Fingerprint(n as u128)) else { panic!("full") };
-        table.sent(NOW, id).unwrap();
+        let FilingDecision::Run(id) = table.admit(NOW, key, Fingerprint(n as u128)) else {
+            panic!("full")
+        };
+        table.mark_sent(NOW, id).unwrap();
         match answer_bytes {
-            0 => table.resolve(NOW, id, End::MayHaveRun),
-            _ => table.resolve(NOW, id, End::Answered(answer(&body))),
+            0 => table.resolve(NOW, id, FilingEnd::MayHaveRun),
+            _ => table.resolve(NOW, id, FilingEnd::Answered(answer(&body))),
         };
     }
     report("admit, sent and resolve", start, keys.len());
@@ -64,14 +67,14 @@
 fn resend(table: &mut FilingTable, keys: &[FilingKey]) {
     let start = Instant::now();
     let known = keys.iter().enumerate().filter(|(n, key)| {
-        let admit = table.admit(NOW, key, Fingerprint(*n as u128));
-        matches!(admit, Admit::Replay(_) | Admit::MayHaveRun)
+        let decision = table.admit(NOW, key, Fingerprint(*n as u128));
+        matches!(decision, FilingDecision::Replay(_) | FilingDecision::MayHaveRun)
     });
     assert_eq!(known.count(), keys.len());
     report("admit of a resend", start, keys.len());
 }
 
-/// Expiry frees a few records a call; the longest call is what a request may wait for.
+/// Each call frees a few records. The longest call is the maximum delay of a request.
 fn free(table: &mut FilingTable) {
     let late = Micros::from_secs(7_200);
     let (start, mut calls, mut longest) = (Instant::now(), 0, 0);
@@ -90,12 +93,12 @@
     let many: Vec<_> = (0..64).map(Fingerprint).collect();
     let start = Instant::now();
     for backend in 0..32 {
-        suspects.crashed(NOW, backend, &many);
+        suspects.record_crash(NOW, backend, &many);
     }
     report("crash of 64 requests", start, 32);
     let start = Instant::now();
     let judged = (0..1_000_000).filter(|n| {
-        suspects.judge(NOW, Fingerprint(*n)) != galenapath_filings::SuspectVerdict::Clear
+        suspects.check(NOW, Fingerprint(*n)) != galenapath_filings::SuspectVerdict::Clear
     });
     println!("suspects found: {}", judged.count());
     report("judge", start, 1_000_000);
@@ -105,7 +108,7 @@
     println!("{what}: {:.0} ns", start.elapsed().as_nanos() as f64 / n as f64);
 }
 
-/// Resident bytes of this process.
+/// Resident memory of this process in bytes.
 fn resident() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap();
     statm.split(' ').nth(1).unwrap().parse::<usize>().unwrap() * PAGE
