--- a/crates/galenapath-ctl/src/client.rs
+++ b/crates/galenapath-ctl/src/client.rs
@@ -3,7 +3,7 @@
 use crate::CtlError;
 use galenapath_config::wire::ErrorWire;
 use galenapath_http::{
-    BodyState, Connection, Framing, HeadTimes, HttpError, put_request, response_framing,
+    BodyState, Connection, Framing, HeadTimeouts, HttpError, put_request, response_framing,
 };
 use http::{HeaderMap, HeaderValue, Method, StatusCode, header};
 use monoio::net::TcpStream;
@@ -92,7 +92,7 @@
         put_request(connection.output(), method, path, &self.headers(), &[], framing);
         connection.write_body(framing, body).await?;
         connection.finish_body(framing).await?;
-        let times = HeadTimes { idle: self.timeout, head: self.timeout };
+        let times = HeadTimeouts { idle: self.timeout, head: self.timeout };
         let head = connection.read_response(times).await?;
         let framing = response_framing(method, head.status, &head.headers)?;
         let mut state = BodyState::new(framing);
--- a/crates/galenapath-entry/src/control/accept.rs
+++ b/crates/galenapath-entry/src/control/accept.rs
@@ -8,7 +8,7 @@
     Acceptance, Action, AuditPage, ChangeRequest, Config, Event, HEAD_KEY, Head, HeadIndex, Limits,
     Outcome, decode_head, encode_head, encode_page, encode_snapshot, page_key, snapshot_key,
 };
-use galenapath_platform::{Expected, Platform, PlatformError, StoreIndex, Swap};
+use galenapath_platform::{Expected, Platform, PlatformError, StoreIndex, SwapOutcome};
 use galenapath_protocol::Verdict;
 use std::time::{Duration, Instant};
 
@@ -88,8 +88,8 @@
     };
     let Ok(value) = encode_head(head) else { return Event::Failed(Verdict::NotRun) };
     match put(plane, HEAD_KEY, expected, value).await {
-        Ok(Swap::Done) => Event::Swapped,
-        Ok(Swap::Conflict) => Event::Raced,
+        Ok(SwapOutcome::Done) => Event::Swapped,
+        Ok(SwapOutcome::Conflict) => Event::Raced,
         Err(e) => Event::Failed(e.verdict),
     }
 }
@@ -99,7 +99,7 @@
     key: &str,
     expected: Expected,
     value: Vec<u8>,
-) -> Result<Swap, PlatformError> {
+) -> Result<SwapOutcome, PlatformError> {
     let result = plane.platform.swap(key, expected, Bytes::from(value)).await;
     plane.count_call("swap", &result);
     result
--- a/crates/galenapath-entry/src/control/backends.rs
+++ b/crates/galenapath-entry/src/control/backends.rs
@@ -60,7 +60,7 @@
         service: listed.service().unwrap_or_default().to_owned(),
         domain: listed.domain().unwrap_or_default().to_owned(),
         started: listed.started(),
-        leaving: listed.leaving(),
+        leaving: listed.is_leaving(),
     }
 }
 
--- a/crates/galenapath-entry/src/control/gossip.rs
+++ b/crates/galenapath-entry/src/control/gossip.rs
@@ -8,8 +8,8 @@
 use galenapath_config::Version;
 use galenapath_membership::{LeavingMark, Member, Probe};
 use galenapath_peers::{
-    ExchangeWire, LeavingWire, MemberWire, PeerCall, PeerError, PeerRequest, crashes_and_cleared,
-    suspects,
+    ExchangeWire, LeavingWire, MemberWire, PeerCall, PeerError, PeerRequest, decode_suspects,
+    encode_suspects,
 };
 use galenapath_protocol::{Incarnation, Micros};
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
 ) -> Result<Option<Incarnation>, PeerError> {
     let news = news(plane, incarnation);
     let (reply, answer) = flume::bounded(1);
-    let call = PeerCall::Exchange { to, news, reply };
+    let call = PeerCall::Exchange { to, updates: news, reply };
     plane.shared.metrics.peer_messages.with_label_values(&["out"]).inc();
     plane.wiring.calls.send_async(call).await.map_err(|_| PeerError::Stopped)?;
     let news = answer.recv_async().await.map_err(|_| PeerError::Stopped)??;
@@ -86,7 +86,7 @@
     let members = plane.members.borrow_mut().news(incarnation);
     let leaving = plane.marks.borrow().recent(plane.now(), TELL_LEAVING);
     let facts = plane.suspects.borrow().export(plane.now());
-    let (crashes, cleared) = crashes_and_cleared(&facts);
+    let (crashes, cleared) = encode_suspects(&facts);
     ExchangeWire {
         members: members.iter().map(MemberWire::from).collect(),
         leaving: leaving.iter().map(LeavingWire::from).collect(),
@@ -107,7 +107,7 @@
     for wire in &news.leaving {
         note_leaving(plane, &LeavingMark::from(wire));
     }
-    let facts = suspects(&news.crashes, &news.cleared);
+    let facts = decode_suspects(&news.crashes, &news.cleared);
     if !facts.is_empty() {
         plane.suspects.borrow_mut().merge(plane.now(), &facts);
         let _ = plane.wiring.commands.try_send(DataCommand::Suspects(facts));
@@ -145,7 +145,9 @@
 pub(super) async fn answer_peers(plane: Rc<ControlPlane>) {
     while let Ok(request) = plane.wiring.requests.recv_async().await {
         match request {
-            PeerRequest::Exchange { news: heard, reply } => answer_exchange(&plane, &heard, &reply),
+            PeerRequest::Exchange { updates: heard, reply } => {
+                answer_exchange(&plane, &heard, &reply)
+            }
             PeerRequest::Config { after, reply } => {
                 let _ = reply.try_send(configuration::document(&plane, Version(after)));
             }
--- a/crates/galenapath-entry/src/control/lists.rs
+++ b/crates/galenapath-entry/src/control/lists.rs
@@ -138,7 +138,7 @@
 
 fn to_member(listed: &ListedInstance) -> Option<Member> {
     let incarnation: Incarnation = listed.meta.get(INCARNATION_META)?.parse().ok()?;
-    let status = if listed.leaving() { MemberStatus::Leaving } else { MemberStatus::Live };
+    let status = if listed.is_leaving() { MemberStatus::Leaving } else { MemberStatus::Live };
     Some(Member {
         id: InstanceId(listed.id.clone()),
         incarnation,
--- a/crates/galenapath-entry/src/control/operators/mod.rs
+++ b/crates/galenapath-entry/src/control/operators/mod.rs
@@ -8,7 +8,7 @@
 use answer::Answer;
 use galenapath_config::wire::ErrorCodeWire;
 use galenapath_http::{
-    BodyState, Connection, Framing, HeadTimes, HttpError, RequestHead, put_response,
+    BodyState, Connection, Framing, HeadTimeouts, HttpError, RequestHead, put_response,
     request_framing,
 };
 use http::{Method, StatusCode};
@@ -26,7 +26,8 @@
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Times of an operator's connection.
-const TIMES: HeadTimes = HeadTimes { idle: Duration::from_secs(60), head: Duration::from_secs(10) };
+const TIMES: HeadTimeouts =
+    HeadTimeouts { idle: Duration::from_secs(60), head: Duration::from_secs(10) };
 
 /// Serves operators for as long as the instance runs.
 pub(super) async fn serve(plane: Rc<ControlPlane>, listener: TcpListener) {
--- a/crates/galenapath-entry/src/control/stop.rs
+++ b/crates/galenapath-entry/src/control/stop.rs
@@ -83,7 +83,7 @@
 }
 
 async fn send_part(plane: &ControlPlane, to: SocketAddr, part: &[HandOver]) -> bool {
-    let outcomes = galenapath_peers::hand_over(plane.shared.incarnation, part);
+    let outcomes = galenapath_peers::encode_hand_over(plane.shared.incarnation, part);
     let (reply, answer) = flume::bounded(1);
     let call = PeerCall::HandOver { to, outcomes, reply };
     let is_sent = plane.wiring.calls.send_async(call).await.is_ok();
@@ -92,7 +92,7 @@
 
 /// Takes over the outcomes of an incarnation that stops.
 pub(super) fn adopt(plane: &ControlPlane, wire: &HandOverWire) -> bool {
-    let Ok(outcomes) = galenapath_peers::outcomes(wire) else {
+    let Ok(outcomes) = galenapath_peers::decode_hand_over(wire) else {
         plane.shared.metrics.fault("bad_hand_over");
         return false;
     };
--- a/crates/galenapath-entry/src/data/attempt.rs
+++ b/crates/galenapath-entry/src/data/attempt.rs
@@ -7,9 +7,9 @@
 use super::service::Service;
 use crate::shared::ControlEvent;
 use bytes::{Bytes, BytesMut};
-use galenapath_http::connection_has;
+use galenapath_http::has_connection_option;
 use galenapath_http::{
-    BodyState, Connection, Field, Framing, HeadTimes, HttpError, ResponseHead, put_request,
+    BodyState, Connection, Field, Framing, HeadTimeouts, HttpError, ResponseHead, put_request,
     response_framing,
 };
 use galenapath_policy::{BackendHandle, Outcome};
@@ -160,7 +160,7 @@
 pub(super) async fn read_final_head(
     connection: &mut Connection,
 ) -> Result<ResponseHead, HttpError> {
-    let times = HeadTimes { idle: HEAD_WAIT, head: HEAD_WAIT };
+    let times = HeadTimeouts { idle: HEAD_WAIT, head: HEAD_WAIT };
     loop {
         let head = connection.read_response(times).await?;
         if !head.status.is_informational() {
@@ -201,7 +201,7 @@
 
 /// Whether a connection may be used again after a complete answer.
 pub(super) fn can_reuse(framing: Framing, version: http::Version, headers: &HeaderMap) -> bool {
-    let closes = connection_has(headers, "close");
+    let closes = has_connection_option(headers, "close");
     framing != Framing::UntilClose && version == http::Version::HTTP_11 && !closes
 }
 
--- a/crates/galenapath-entry/src/data/caller.rs
+++ b/crates/galenapath-entry/src/data/caller.rs
@@ -8,8 +8,8 @@
 use bytes::{Bytes, BytesMut};
 use galenapath_config::{Class, ClassKind, Config};
 use galenapath_http::{
-    BodyState, Connection, Framing, HeadTimes, HttpError, RequestHead, expects_continue,
-    request_framing, request_host, wants_keep_alive,
+    BodyState, Connection, Framing, HeadTimeouts, HttpError, RequestHead, expects_continue,
+    is_keep_alive, request_framing, request_host,
 };
 use http::header::CONNECTION;
 use http::{HeaderMap, HeaderValue, Method, StatusCode, Version};
@@ -61,7 +61,7 @@
 /// Serves requests on a connection until either side closes it.
 pub(super) async fn serve(plane: Rc<DataPlane>, io: TcpStream) {
     let limits = &plane.shared.settings.limits;
-    let times = HeadTimes { idle: limits.idle_timeout, head: limits.header_timeout };
+    let times = HeadTimeouts { idle: limits.idle_timeout, head: limits.header_timeout };
     let mut caller = Caller {
         connection: Connection::new(io, limits.header_bytes),
         method: Method::GET,
@@ -118,7 +118,7 @@
     caller.method = head.method.clone();
     caller.is_http_10 = head.version == Version::HTTP_10;
     caller.expects_continue = expects_continue(&head);
-    caller.keep_alive = wants_keep_alive(&head) && !plane.shared.is_leaving();
+    caller.keep_alive = is_keep_alive(&head) && !plane.shared.is_leaving();
     let framing = match request_framing(head.version, &head.headers) {
         Ok(framing) => framing,
         Err(e) => {
--- a/crates/galenapath-entry/src/fleet.rs
+++ b/crates/galenapath-entry/src/fleet.rs
@@ -57,7 +57,7 @@
     let id = BackendId(listed.id.as_str().into());
     let started = listed.started();
     FleetBackend {
-        leaving: listed.leaving() || marks.is_leaving(&id, started),
+        leaving: listed.is_leaving() || marks.is_leaving(&id, started),
         id,
         address: listed.address,
         domain: DomainId(listed.domain().unwrap_or_default().into()),
--- a/crates/galenapath-gateway/src/attempt.rs
+++ b/crates/galenapath-gateway/src/attempt.rs
@@ -229,7 +229,7 @@
     let start =
         reply::read_start(&mut connection, &mut body).await.map_err(|e| attempt_error(&e))?;
     let is_local = call.service.is_local(&in_flight.server);
-    call.instance.usage.count(Flow::Request, is_local, connection.take_carried());
+    call.instance.usage.count(Flow::Request, is_local, connection.take_byte_count());
     let stated = reply::stated_idle(&head.headers);
     let closes = reply::closes(&head.headers) || framing == Framing::UntilClose;
     let rest = if body.is_complete() {
--- a/crates/galenapath-gateway/src/caller.rs
+++ b/crates/galenapath-gateway/src/caller.rs
@@ -11,8 +11,8 @@
 use futures::future::{Either, select};
 use galenapath_filings::Fingerprint;
 use galenapath_http::{
-    BadRequest, BodyState, Connection, Framing, HeadTimes, HttpError, RequestHead,
-    expects_continue, request_framing, request_host, wants_keep_alive,
+    BadRequest, BodyState, Connection, Framing, HeadTimeouts, HttpError, RequestHead,
+    expects_continue, is_keep_alive, request_framing, request_host,
 };
 use galenapath_policy::CallerAttempt;
 use galenapath_protocol::{Micros, Verdict};
@@ -95,7 +95,7 @@
     };
     loop {
         let limits = *instance.state.borrow().table().limits();
-        let times = HeadTimes { idle: limits.idle_timeout, head: limits.header_timeout };
+        let times = HeadTimeouts { idle: limits.idle_timeout, head: limits.header_timeout };
         let head = match caller.connection.read_request(times).await {
             Ok(head) => head,
             Err(e) => {
@@ -148,7 +148,7 @@
     let arrived = instance.now();
     caller.method = head.method.clone();
     caller.is_http_10 = head.version == Version::HTTP_10;
-    caller.keep_alive = wants_keep_alive(&head) && instance.stage.get() == Stage::Serving;
+    caller.keep_alive = is_keep_alive(&head) && instance.stage.get() == Stage::Serving;
     let framing = match request_framing(head.version, &head.headers) {
         Ok(framing) => framing,
         Err(e) => {
--- a/crates/galenapath-gateway/src/control.rs
+++ b/crates/galenapath-gateway/src/control.rs
@@ -4,7 +4,9 @@
 use crate::dialect::ControlRequest;
 use crate::instance::{Instance, Stage};
 use bytes::Bytes;
-use galenapath_http::{Connection, Framing, HeadTimes, RequestHead, connection_has, put_response};
+use galenapath_http::{
+    Connection, Framing, HeadTimeouts, RequestHead, has_connection_option, put_response,
+};
 use http::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
 use http::{Method, StatusCode, Version};
 use monoio::net::{TcpListener, TcpStream};
@@ -15,8 +17,8 @@
 const HEAD_LIMIT: usize = 8 * 1024;
 
 /// Timeouts for one control request.
-const TIMEOUTS: HeadTimes =
-    HeadTimes { idle: Duration::from_secs(10), head: Duration::from_secs(2) };
+const TIMEOUTS: HeadTimeouts =
+    HeadTimeouts { idle: Duration::from_secs(10), head: Duration::from_secs(2) };
 
 /// Pause after a failed accept, which avoids a busy loop while file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -49,7 +51,7 @@
     while let Ok(head) = connection.read_request(TIMEOUTS).await {
         let reply = answer(&instance, &head);
         let is_last = head.version != Version::HTTP_11
-            || connection_has(&head.headers, "close")
+            || has_connection_option(&head.headers, "close")
             || instance.stage.get() == Stage::Closing;
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static(reply.content_type));
--- a/crates/galenapath-gateway/src/load_query.rs
+++ b/crates/galenapath-gateway/src/load_query.rs
@@ -6,7 +6,7 @@
 use crate::service::Service;
 use crate::usage::Flow;
 use galenapath_http::{
-    BodyState, Connection, Framing, HeadTimes, HttpError, ResponseHead, put_request,
+    BodyState, Connection, Framing, HeadTimeouts, HttpError, ResponseHead, put_request,
     response_framing,
 };
 use galenapath_policy::LogLineKind;
@@ -20,7 +20,8 @@
 pub(crate) const HEAD_LIMIT: usize = 8 * 1024;
 
 /// Upper limits on the time for an answer; users of [`query`] set a shorter one.
-const TIMES: HeadTimes = HeadTimes { idle: Duration::from_secs(1), head: Duration::from_secs(1) };
+const TIMES: HeadTimeouts =
+    HeadTimeouts { idle: Duration::from_secs(1), head: Duration::from_secs(1) };
 
 const MS_PER_S: f64 = 1_000.0;
 
@@ -59,7 +60,7 @@
     let framing = response_framing(&Method::GET, head.status, &head.headers)?;
     let mut body = BodyState::new(framing);
     while connection.read_body(&mut body).await?.is_some() {}
-    instance.usage.count(Flow::Query, service.is_local(id), connection.take_carried());
+    instance.usage.count(Flow::Query, service.is_local(id), connection.take_byte_count());
     service.placement.borrow_mut().reached(id);
     let is_other = is_other(instance, service, id, &head);
     if !is_other {
--- a/crates/galenapath-gateway/src/relay.rs
+++ b/crates/galenapath-gateway/src/relay.rs
@@ -39,7 +39,7 @@
     put_response(caller.connection.output(), status, &headers, framing, true);
     let mut rest = rest;
     let sent = stream(caller, framing, &start, &mut rest).await;
-    call.instance.usage.count(Flow::Request, rest.is_local, rest.connection.take_carried());
+    call.instance.usage.count(Flow::Request, rest.is_local, rest.connection.take_byte_count());
     let outcome = if sent.is_ok() { "answered" } else { "broke_off" };
     record_end(call, &answered_end(status, outcome));
     sent
--- a/crates/galenapath-gateway/src/reply.rs
+++ b/crates/galenapath-gateway/src/reply.rs
@@ -3,7 +3,7 @@
 use crate::dialect::HeaderNames;
 use bytes::{Bytes, BytesMut};
 use galenapath_http::{
-    BodyState, Connection, Framing, HeadTimes, HttpError, ResponseHead, connection_has,
+    BodyState, Connection, Framing, HeadTimeouts, HttpError, ResponseHead, has_connection_option,
     response_framing, strip_hop_by_hop,
 };
 use galenapath_protocol::Micros;
@@ -108,7 +108,7 @@
     method: &Method,
     id: Option<&http::HeaderValue>,
 ) -> Result<(ResponseHead, HeadVerdict), HttpError> {
-    let times = HeadTimes { idle: FIRST_BYTE_TIMEOUT, head: HEAD_TIMEOUT };
+    let times = HeadTimeouts { idle: FIRST_BYTE_TIMEOUT, head: HEAD_TIMEOUT };
     let mut skipped = 0;
     loop {
         let head = connection.read_response(times).await?;
@@ -138,7 +138,7 @@
 
 /// Whether the server closes the connection after this answer.
 pub(crate) fn closes(headers: &HeaderMap) -> bool {
-    connection_has(headers, "close")
+    has_connection_option(headers, "close")
 }
 
 /// Reads the whole body, or its beginning if it exceeds [`BUFFER_LIMIT`].
--- a/crates/galenapath-gateway/src/watch.rs
+++ b/crates/galenapath-gateway/src/watch.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures::future::{Either, select};
 use galenapath_membership::{StoreHealth, WatchRole, reads_first, watch_role};
-use galenapath_platform::{Freshness, Item, KeyStore, PlatformError, StoreIndex, Watched};
+use galenapath_platform::{Freshness, Item, KeyStore, PlatformError, StoreIndex, WatchOutcome};
 use galenapath_protocol::Micros;
 use std::pin::pin;
 use std::rc::Rc;
@@ -158,7 +158,7 @@
         };
         self.record_result("watch", &watched);
         match watched {
-            Ok(Watched::Events { events, position }) => {
+            Ok(WatchOutcome::Events { events, position }) => {
                 let before = self.instance.status();
                 self.instance.apply_events(&events, position.0);
                 let after = self.instance.status();
@@ -168,7 +168,7 @@
                 self.register().await;
                 sleep(BATCH_DELAY).await;
             }
-            Ok(Watched::HistoryGone) => {
+            Ok(WatchOutcome::HistoryGone) => {
                 log::warn!(position; "the store discarded its history; reading all keys again");
                 self.load(Freshness::Current).await;
             }
--- a/crates/galenapath-http/src/connection.rs
+++ b/crates/galenapath-http/src/connection.rs
@@ -36,7 +36,7 @@
 
 /// How long a head may take.
 #[derive(Clone, Copy, Debug)]
-pub struct HeadTimes {
+pub struct HeadTimeouts {
     /// Longest wait for the first byte.
     pub idle: Duration,
     /// Longest time from the first byte to the end of the head.
@@ -65,7 +65,7 @@
     }
 
     /// Bytes read and written since this was last asked.
-    pub fn take_carried(&mut self) -> u64 {
+    pub fn take_byte_count(&mut self) -> u64 {
         std::mem::take(&mut self.carried)
     }
 
@@ -74,7 +74,7 @@
     /// # Errors
     ///
     /// `Closed` when the peer closed between requests; any other error ends the connection.
-    pub async fn read_request(&mut self, times: HeadTimes) -> Result<RequestHead, HttpError> {
+    pub async fn read_request(&mut self, times: HeadTimeouts) -> Result<RequestHead, HttpError> {
         self.read_head(times, |input| RequestHeadDecoder.decode(input).ok()).await
     }
 
@@ -83,13 +83,13 @@
     /// # Errors
     ///
     /// `Closed` when the peer closed before the first byte; any other error ends the connection.
-    pub async fn read_response(&mut self, times: HeadTimes) -> Result<ResponseHead, HttpError> {
+    pub async fn read_response(&mut self, times: HeadTimeouts) -> Result<ResponseHead, HttpError> {
         self.read_head(times, |input| ResponseHeadDecoder.decode(input).ok()).await
     }
 
     async fn read_head<T>(
         &mut self,
-        times: HeadTimes,
+        times: HeadTimeouts,
         decode: impl Fn(&mut BytesMut) -> Option<Decoded<T>>,
     ) -> Result<T, HttpError> {
         if self.input.is_empty() {
--- a/crates/galenapath-http/src/hop_by_hop.rs
+++ b/crates/galenapath-http/src/hop_by_hop.rs
@@ -33,7 +33,7 @@
 }
 
 /// Whether the `Connection` header has `token`.
-pub fn connection_has(headers: &HeaderMap, token: &str) -> bool {
+pub fn has_connection_option(headers: &HeaderMap, token: &str) -> bool {
     headers
         .get_all(CONNECTION)
         .iter()
--- a/crates/galenapath-http/src/lib.rs
+++ b/crates/galenapath-http/src/lib.rs
@@ -12,11 +12,11 @@
 mod request;
 
 pub use body::BodyState;
-pub use connection::{Connection, HeadTimes};
+pub use connection::{Connection, HeadTimeouts};
 pub use error::HttpError;
 pub use framing::{Framing, request_framing, response_framing};
 pub use head::{Field, MAX_HEADERS, check_head, put_request, put_response};
-pub use hop_by_hop::{connection_has, strip_hop_by_hop};
+pub use hop_by_hop::{has_connection_option, strip_hop_by_hop};
 pub use monoio_http::common::request::RequestHead;
 pub use monoio_http::common::response::ResponseHead;
-pub use request::{BadRequest, expects_continue, request_host, wants_keep_alive};
+pub use request::{BadRequest, expects_continue, is_keep_alive, request_host};
--- a/crates/galenapath-http/src/request.rs
+++ b/crates/galenapath-http/src/request.rs
@@ -1,6 +1,6 @@
 //! What the head of a request says beside its framing.
 
-use crate::{RequestHead, connection_has};
+use crate::{RequestHead, has_connection_option};
 use http::Version;
 use http::header::{EXPECT, HOST};
 use thiserror::Error;
@@ -56,10 +56,10 @@
 }
 
 /// Whether the caller wants to use the connection again.
-pub fn wants_keep_alive(head: &RequestHead) -> bool {
+pub fn is_keep_alive(head: &RequestHead) -> bool {
     match head.version {
-        Version::HTTP_11 => !connection_has(&head.headers, "close"),
-        _ => connection_has(&head.headers, "keep-alive"),
+        Version::HTTP_11 => !has_connection_option(&head.headers, "close"),
+        _ => has_connection_option(&head.headers, "keep-alive"),
     }
 }
 
--- a/crates/galenapath-http/tests/support/mod.rs
+++ b/crates/galenapath-http/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! A connection whose peer sends given pieces and then closes.
 
-use galenapath_http::{BodyState, Connection, Framing, HeadTimes, HttpError};
+use galenapath_http::{BodyState, Connection, Framing, HeadTimeouts, HttpError};
 use monoio::io::{AsyncWriteRent, AsyncWriteRentExt};
 use monoio::net::{TcpListener, TcpStream};
 use monoio::{LegacyDriver, RuntimeBuilder};
@@ -11,8 +11,8 @@
 pub const HEAD_LIMIT: usize = 4 * 1024;
 
 /// Times that no test waits for in vain.
-pub const TIMES: HeadTimes =
-    HeadTimes { idle: Duration::from_secs(5), head: Duration::from_secs(5) };
+pub const TIMES: HeadTimeouts =
+    HeadTimeouts { idle: Duration::from_secs(5), head: Duration::from_secs(5) };
 
 /// Runs `work` on a connection whose peer sends `pieces` one by one and closes.
 pub fn receive<T>(pieces: Vec<Vec<u8>>, work: impl AsyncFnOnce(Connection) -> T) -> T {
--- a/crates/galenapath-peers/src/call.rs
+++ b/crates/galenapath-peers/src/call.rs
@@ -12,7 +12,7 @@
         /// The peer's address.
         to: SocketAddr,
         /// News to tell.
-        news: ExchangeWire,
+        updates: ExchangeWire,
         /// Where the peer's news go.
         reply: Sender<Result<ExchangeWire, PeerError>>,
     },
@@ -50,7 +50,7 @@
     /// Hear news and tell the own.
     Exchange {
         /// The peer's news.
-        news: ExchangeWire,
+        updates: ExchangeWire,
         /// Where the own news go.
         reply: Sender<ExchangeWire>,
     },
--- a/crates/galenapath-peers/src/convert.rs
+++ b/crates/galenapath-peers/src/convert.rs
@@ -1,6 +1,6 @@
 //! Conversions between wire types and the types of the pure crates.
 
-use crate::BadNews;
+use crate::InvalidMessage;
 use crate::generated::{
     ClearedWire, CrashWire, HandOverWire, HeaderWire, LeavingWire, MemberStatusWire, MemberWire,
     OutcomeWire,
@@ -48,7 +48,7 @@
 }
 
 impl TryFrom<&MemberWire> for Member {
-    type Error = BadNews;
+    type Error = InvalidMessage;
 
     fn try_from(wire: &MemberWire) -> Result<Self, Self::Error> {
         Ok(Self {
@@ -75,12 +75,12 @@
     }
 }
 
-fn address(text: &str) -> Result<SocketAddr, BadNews> {
-    text.parse().map_err(|_| BadNews::Address(text.to_owned()))
+fn address(text: &str) -> Result<SocketAddr, InvalidMessage> {
+    text.parse().map_err(|_| InvalidMessage::Address(text.to_owned()))
 }
 
 /// Splits what is known of suspects into the two lists of a message.
-pub fn crashes_and_cleared(facts: &[SuspectWire]) -> (Vec<CrashWire>, Vec<ClearedWire>) {
+pub fn encode_suspects(facts: &[SuspectWire]) -> (Vec<CrashWire>, Vec<ClearedWire>) {
     let mut crashes = Vec::new();
     let mut cleared = Vec::new();
     for fact in facts {
@@ -99,7 +99,7 @@
 }
 
 /// Joins the two lists of a message again; entries that make no sense are left out.
-pub fn suspects(crashes: &[CrashWire], cleared: &[ClearedWire]) -> Vec<SuspectWire> {
+pub fn decode_suspects(crashes: &[CrashWire], cleared: &[ClearedWire]) -> Vec<SuspectWire> {
     let crashes = crashes.iter().map(|wire| SuspectWire::Crash {
         backend: wire.backend,
         age_ms: wire.age_ms,
@@ -117,7 +117,7 @@
 }
 
 /// The message that hands over the outcomes of `incarnation`.
-pub fn hand_over(incarnation: Incarnation, outcomes: &[HandOver]) -> HandOverWire {
+pub fn encode_hand_over(incarnation: Incarnation, outcomes: &[HandOver]) -> HandOverWire {
     let outcomes = outcomes.iter().map(OutcomeWire::from).collect();
     HandOverWire { incarnation: incarnation.0, outcomes }
 }
@@ -127,7 +127,7 @@
 /// # Errors
 ///
 /// When any of them makes no sense; none is taken over then.
-pub fn outcomes(wire: &HandOverWire) -> Result<Vec<HandOver>, BadNews> {
+pub fn decode_hand_over(wire: &HandOverWire) -> Result<Vec<HandOver>, InvalidMessage> {
     wire.outcomes.iter().map(HandOver::try_from).collect()
 }
 
@@ -148,7 +148,7 @@
 }
 
 impl TryFrom<&OutcomeWire> for HandOver {
-    type Error = BadNews;
+    type Error = InvalidMessage;
 
     fn try_from(wire: &OutcomeWire) -> Result<Self, Self::Error> {
         let status = wire.status;
@@ -172,16 +172,16 @@
     format!("{number:032x}")
 }
 
-fn unhex(text: &str) -> Result<u128, BadNews> {
-    u128::from_str_radix(text, 16).map_err(|_| BadNews::Hex(text.to_owned()))
+fn unhex(text: &str) -> Result<u128, InvalidMessage> {
+    u128::from_str_radix(text, 16).map_err(|_| InvalidMessage::Hex(text.to_owned()))
 }
 
 fn hex_bytes(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn unhex_bytes(text: &str) -> Result<Vec<u8>, BadNews> {
-    let bad = || BadNews::Hex(text.to_owned());
+fn unhex_bytes(text: &str) -> Result<Vec<u8>, InvalidMessage> {
+    let bad = || InvalidMessage::Hex(text.to_owned());
     let digits = text.as_bytes();
     if !digits.len().is_multiple_of(2) {
         return Err(bad());
--- a/crates/galenapath-peers/src/error.rs
+++ b/crates/galenapath-peers/src/error.rs
@@ -40,7 +40,7 @@
 
 /// A message from a peer whose content makes no sense; it is dropped.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum BadNews {
+pub enum InvalidMessage {
     /// An address is not IP and port.
     #[error("peer sent `{0}` where an address was expected")]
     Address(String),
--- a/crates/galenapath-peers/src/lib.rs
+++ b/crates/galenapath-peers/src/lib.rs
@@ -16,8 +16,8 @@
 mod server;
 
 pub use call::{PeerCall, PeerRequest};
-pub use convert::{crashes_and_cleared, hand_over, outcomes, suspects};
-pub use error::{BadNews, PeerError};
+pub use convert::{decode_hand_over, decode_suspects, encode_hand_over, encode_suspects};
+pub use error::{InvalidMessage, PeerError};
 pub use generated::{
     BackendWire, BackendsWire, ClearedWire, ConfigWire, CrashWire, ExchangeWire, HandOverWire,
     HeaderWire, LeavingWire, MemberStatusWire, MemberWire, OutcomeWire,
--- a/crates/galenapath-peers/src/pool.rs
+++ b/crates/galenapath-peers/src/pool.rs
@@ -105,7 +105,7 @@
     let mut cx = context::current();
     cx.deadline = deadline;
     match call {
-        PeerCall::Exchange { news, reply, .. } => {
+        PeerCall::Exchange { updates: news, reply, .. } => {
             settle(to, client.exchange(cx, news).await, &reply)
         }
         PeerCall::Backends { after, reply, .. } => {
--- a/crates/galenapath-peers/src/server.rs
+++ b/crates/galenapath-peers/src/server.rs
@@ -44,7 +44,7 @@
 impl Peer for Handler {
     async fn exchange(self, _: Context, news: ExchangeWire) -> ExchangeWire {
         let (reply, replies) = flume::bounded(1);
-        self.ask(PeerRequest::Exchange { news, reply }, replies).await
+        self.ask(PeerRequest::Exchange { updates: news, reply }, replies).await
     }
 
     async fn config(self, _: Context, after: u64) -> ConfigWire {
--- a/crates/galenapath-peers/tests/plane.rs
+++ b/crates/galenapath-peers/tests/plane.rs
@@ -34,7 +34,7 @@
 ) -> Receiver<Result<ExchangeWire, galenapath_peers::PeerError>> {
     let (reply, answer) = flume::bounded(1);
     from.calls
-        .send(PeerCall::Exchange { to, news: news(u64::MAX), reply })
+        .send(PeerCall::Exchange { to, updates: news(u64::MAX), reply })
         .unwrap_or_else(|e| panic!("the plane has stopped: {e}"));
     answer
 }
@@ -43,7 +43,8 @@
 fn exchange_news_arrives_unchanged() {
     let (first, second) = (plane(), plane());
     let answer = ask(&first, second.address);
-    let PeerRequest::Exchange { news: heard, reply } = second.requests.recv_timeout(LIMIT).unwrap()
+    let PeerRequest::Exchange { updates: heard, reply } =
+        second.requests.recv_timeout(LIMIT).unwrap()
     else {
         panic!("another call arrived");
     };
--- a/crates/galenapath-platform/src/consul.rs
+++ b/crates/galenapath-platform/src/consul.rs
@@ -3,7 +3,7 @@
 use crate::http_client::{Answer, Call, HttpClient};
 use crate::{
     Announcement, Cause, Entry, Expected, Lease, ListedInstance, Listing, Platform, PlatformError,
-    Read, StoreIndex, Swap,
+    Read, StoreIndex, SwapOutcome,
 };
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -120,7 +120,7 @@
         wait: Duration,
     ) -> Result<Read, PlatformError> {
         let path = format!("{}?{}", kv_path(key), blocking(after, wait));
-        self.fetch(key, Call::get(path).waiting(wait)).await
+        self.fetch(key, Call::get(path).with_wait(wait)).await
     }
 
     async fn swap(
@@ -128,13 +128,13 @@
         key: &str,
         expected: Expected,
         value: Bytes,
-    ) -> Result<Swap, PlatformError> {
+    ) -> Result<SwapOutcome, PlatformError> {
         let cas = match expected {
             Expected::Absent => 0,
             Expected::At(StoreIndex(index)) => index,
         };
         let done = self.decide(Call::put(format!("{}?cas={cas}", kv_path(key)), value)).await?;
-        Ok(if done { Swap::Done } else { Swap::Conflict })
+        Ok(if done { SwapOutcome::Done } else { SwapOutcome::Conflict })
     }
 
     async fn lease(&self, ttl: Duration) -> Result<Lease, PlatformError> {
@@ -165,7 +165,7 @@
     ) -> Result<Listing, PlatformError> {
         let path = format!("/v1/health/service/{}", escape(service));
         let call = match after {
-            Some(after) => Call::get(format!("{path}?{}", blocking(after, wait))).waiting(wait),
+            Some(after) => Call::get(format!("{path}?{}", blocking(after, wait))).with_wait(wait),
             None => Call::get(path),
         };
         let answer = self.http.exchange(&call).await?;
--- a/crates/galenapath-platform/src/error.rs
+++ b/crates/galenapath-platform/src/error.rs
@@ -33,7 +33,7 @@
     RateLimited,
     /// The platform answered with an error status.
     #[error("status {status}: {text}")]
-    Refused {
+    ErrorStatus {
         /// HTTP status.
         status: u16,
         /// Start of the answer's body.
--- a/crates/galenapath-platform/src/http_client.rs
+++ b/crates/galenapath-platform/src/http_client.rs
@@ -59,7 +59,7 @@
 
     /// Lets the platform hold the answer back for `wait`.
     #[must_use]
-    pub fn waiting(mut self, wait: Duration) -> Self {
+    pub fn with_wait(mut self, wait: Duration) -> Self {
         self.wait = wait;
         self
     }
@@ -233,5 +233,5 @@
     }
     let verdict = if status.is_client_error() { Verdict::NotRun } else { Verdict::MayHaveRun };
     let text = String::from_utf8_lossy(&answer.body).chars().take(MAX_ERROR_TEXT).collect();
-    Some((Cause::Refused { status: status.as_u16(), text }, verdict))
+    Some((Cause::ErrorStatus { status: status.as_u16(), text }, verdict))
 }
--- a/crates/galenapath-platform/src/key_store.rs
+++ b/crates/galenapath-platform/src/key_store.rs
@@ -62,7 +62,7 @@
 
 /// What a watch saw.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Watched {
+pub enum WatchOutcome {
     /// All changes up to `position`; none where the wait ended first.
     Events {
         /// The changes, oldest first.
@@ -97,7 +97,7 @@
         prefix: &str,
         after: StoreIndex,
         wait: Duration,
-    ) -> Result<Watched, PlatformError>;
+    ) -> Result<WatchOutcome, PlatformError>;
 
     /// Writes a key whatever it holds.
     async fn put(&self, key: &str, value: Bytes) -> Result<(), PlatformError>;
--- a/crates/galenapath-platform/src/listing.rs
+++ b/crates/galenapath-platform/src/listing.rs
@@ -33,7 +33,7 @@
     }
 
     /// Whether the list marks the instance as leaving.
-    pub fn leaving(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         self.meta.get(STATE_META).is_some_and(|value| value == STATE_LEAVING)
     }
 
--- a/crates/galenapath-platform/src/platform.rs
+++ b/crates/galenapath-platform/src/platform.rs
@@ -1,6 +1,6 @@
 //! The trait behind which the platform sits.
 
-use crate::{Announcement, Expected, Lease, Listing, PlatformError, Read, StoreIndex, Swap};
+use crate::{Announcement, Expected, Lease, Listing, PlatformError, Read, StoreIndex, SwapOutcome};
 use bytes::Bytes;
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
         key: &str,
         expected: Expected,
         value: Bytes,
-    ) -> Result<Swap, PlatformError>;
+    ) -> Result<SwapOutcome, PlatformError>;
 
     /// Takes a lease that lapses `ttl` after its last renewal.
     async fn lease(&self, ttl: Duration) -> Result<Lease, PlatformError>;
--- a/crates/galenapath-platform/src/swap.rs
+++ b/crates/galenapath-platform/src/swap.rs
@@ -13,7 +13,7 @@
 
 /// Outcome of a compare-and-swap that the store answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Swap {
+pub enum SwapOutcome {
     /// The new value is in the store.
     Done,
     /// The key did not hold what was expected; the store is unchanged.
--- a/crates/galenapath-platform/tests/consul.rs
+++ b/crates/galenapath-platform/tests/consul.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use galenapath_dev::store::{StoreOptions, serve};
 use galenapath_platform::{
-    Announcement, Cause, ConsulPlatform, Expected, Platform, StoreIndex, Swap,
+    Announcement, Cause, ConsulPlatform, Expected, Platform, StoreIndex, SwapOutcome,
 };
 use galenapath_protocol::Verdict;
 use monoio::io::AsyncWriteRentExt;
@@ -50,7 +50,7 @@
         let absent = platform.read(KEY).await.unwrap();
         assert_eq!(absent.expected(), Expected::Absent);
         let swap = platform.swap(KEY, absent.expected(), value("one")).await.unwrap();
-        assert_eq!(swap, Swap::Done);
+        assert_eq!(swap, SwapOutcome::Done);
         let written = platform.read(KEY).await.unwrap();
         assert_eq!(written.entry.unwrap().value, value("one"));
     });
@@ -64,9 +64,9 @@
         let read = platform.read(KEY).await.unwrap();
         let first = platform.swap(KEY, read.expected(), value("two")).await.unwrap();
         let second = platform.swap(KEY, read.expected(), value("three")).await.unwrap();
-        assert_eq!((first, second), (Swap::Done, Swap::Conflict));
+        assert_eq!((first, second), (SwapOutcome::Done, SwapOutcome::Conflict));
         let absent = platform.swap(KEY, Expected::Absent, value("four")).await.unwrap();
-        assert_eq!(absent, Swap::Conflict);
+        assert_eq!(absent, SwapOutcome::Conflict);
     });
 }
 
@@ -111,7 +111,7 @@
         let platform = ConsulPlatform::new(store, Duration::from_secs(5));
         let large = Bytes::from(vec![7; 1 << 20]);
         let swap = platform.swap(KEY, Expected::Absent, large.clone()).await.unwrap();
-        assert_eq!(swap, Swap::Done);
+        assert_eq!(swap, SwapOutcome::Done);
         assert_eq!(platform.read(KEY).await.unwrap().entry.unwrap().value, large);
         let over = Bytes::from(vec![7; (1 << 20) + 1]);
         assert!(platform.swap("other", Expected::Absent, over).await.is_err());
