--- a/crates/galenapath-peers/src/call.rs
+++ b/crates/galenapath-peers/src/call.rs
@@ -1,78 +1,79 @@
-//! What passes between the plane's thread and the rest of the instance.
+//! Messages between the peer plane's thread and the rest of the instance.
 
 use crate::PeerError;
 use crate::generated::{BackendsWire, ConfigWire, ExchangeWire, HandOverWire};
 use flume::Sender;
 use std::net::SocketAddr;
 
-/// A call that the instance makes to a peer. The reply channel gets one answer.
+/// A call that the instance makes to a peer. The reply channel receives one result.
 pub enum PeerCall {
-    /// Tell news and hear the peer's.
+    /// Send updates and receive the peer's.
     Exchange {
         /// The peer's address.
         to: SocketAddr,
-        /// News to tell.
+        /// The updates to send.
         updates: ExchangeWire,
-        /// Where the peer's news go.
+        /// Receives the peer's updates.
         reply: Sender<Result<ExchangeWire, PeerError>>,
     },
-    /// Ask for the peer's configuration.
+    /// Fetch the peer's configuration.
     Config {
         /// The peer's address.
         to: SocketAddr,
-        /// Version that the instance has.
+        /// Version that the instance already has.
         after: u64,
-        /// Where it goes.
+        /// Receives the configuration.
         reply: Sender<Result<ConfigWire, PeerError>>,
     },
-    /// Ask for what the own list of backend servers lacks.
+    /// Fetch the changes to the list of backend servers that the instance does not have yet.
     Backends {
         /// The peer's address.
         to: SocketAddr,
-        /// Position of the own list.
+        /// Position of the instance's list.
         after: u64,
-        /// Where they go.
+        /// Receives the changes.
         reply: Sender<Result<BackendsWire, PeerError>>,
     },
-    /// Hand over outcomes.
+    /// Hand over the outcomes of filings to a peer before this instance stops.
     HandOver {
         /// The peer's address.
         to: SocketAddr,
         /// The outcomes.
         outcomes: HandOverWire,
-        /// Whether they were taken.
+        /// Receives whether the peer accepted them.
         reply: Sender<Result<bool, PeerError>>,
     },
 }
 
-/// A call that a peer makes to the instance. A dropped reply channel is an error for the peer.
+/// A call that a peer makes to the instance. If the reply channel is dropped, the peer's call fails
+/// by its deadline.
 pub enum PeerRequest {
-    /// Hear news and tell the own.
+    /// Receive updates and reply with this instance's.
     Exchange {
-        /// The peer's news.
+        /// The peer's updates.
         updates: ExchangeWire,
-        /// Where the own news go.
+        /// Takes this instance's updates.
         reply: Sender<ExchangeWire>,
     },
-    /// Tell the configuration.
+    /// Reply with the configuration.
     Config {
-        /// Version that the peer has.
+        /// Version that the peer already has.
         after: u64,
-        /// Where it goes.
+        /// Takes the configuration.
         reply: Sender<ConfigWire>,
     },
-    /// Tell what a peer's list of backend servers lacks.
+    /// Reply with the changes to the list of backend servers that the peer does not have yet.
     Backends {
         /// Position of the peer's list.
         after: u64,
-        /// Where they go.
+        /// Takes the changes.
         reply: Sender<BackendsWire>,
     },
-    /// Take over outcomes.
+    /// Take over the outcomes of filings from a peer that stops.
     HandOver {
         /// The outcomes.
         outcomes: HandOverWire,
-        /// Whether they were taken.
+        /// Takes whether the outcomes were accepted.
         reply: Sender<bool>,
     },
 }
--- a/crates/galenapath-peers/src/codec.rs
+++ b/crates/galenapath-peers/src/codec.rs
@@ -1,8 +1,8 @@
 //! The encoding of messages between instances: MessagePack with named fields.
 //!
-//! `tokio-serde` has a MessagePack codec, but that one encodes structs by place. A field that is
-//! left out would shift the others, and an instance of the next version could not talk to one of
-//! this version during a rolling upgrade.
+//! The MessagePack codec of `tokio-serde` encodes struct fields by position. A field that is left
+//! out would shift the fields after it, and during a rolling upgrade instances of two versions could
+//! not decode each other's messages.
 
 use bytes::{Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 use std::pin::Pin;
 use tarpc::tokio_serde::{Deserializer, Serializer};
 
-/// MessagePack with named fields.
+/// Codec that writes structs as maps from field name to value.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct NamedMessagePack;
 
--- a/crates/galenapath-peers/src/convert.rs
+++ b/crates/galenapath-peers/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between wire types and the types of the pure crates.
+//! Conversions between wire types and the types of the crates that do no I/O.
 
 use crate::InvalidMessage;
 use crate::generated::{
@@ -55,8 +55,8 @@
             id: InstanceId(wire.id.clone()),
             incarnation: Incarnation(wire.incarnation),
             domain: DomainId(wire.domain.as_str().into()),
-            callers: address(&wire.callers)?,
-            peers: address(&wire.peers)?,
+            callers: parse_address(&wire.callers)?,
+            peers: parse_address(&wire.peers)?,
             beat: wire.beat,
             status: wire.status.into(),
         })
@@ -75,30 +75,31 @@
     }
 }
 
-fn address(text: &str) -> Result<SocketAddr, InvalidMessage> {
+fn parse_address(text: &str) -> Result<SocketAddr, InvalidMessage> {
     text.parse().map_err(|_| InvalidMessage::Address(text.to_owned()))
 }
 
-/// Splits what is known of suspects into the two lists of a message.
-pub fn encode_suspects(facts: &[SuspectWire]) -> (Vec<CrashWire>, Vec<ClearedWire>) {
+/// Splits reports on crash suspects into the two lists of a message.
+pub fn encode_suspects(reports: &[SuspectWire]) -> (Vec<CrashWire>, Vec<ClearedWire>) {
     let mut crashes = Vec::new();
     let mut cleared = Vec::new();
-    for fact in facts {
-        match fact {
+    for report in reports {
+        match report {
             SuspectWire::Crash { backend, age_ms, members } => crashes.push(CrashWire {
                 backend: *backend,
                 age_ms: *age_ms,
-                fingerprints: members.iter().map(|fp| hex(fp.0)).collect(),
+                fingerprints: members.iter().map(|fp| format_hex(fp.0)).collect(),
             }),
             SuspectWire::Answered { fp, age_ms } => {
-                cleared.push(ClearedWire { fingerprint: hex(fp.0), age_ms: *age_ms });
+                cleared.push(ClearedWire { fingerprint: format_hex(fp.0), age_ms: *age_ms });
             }
         }
     }
     (crashes, cleared)
 }
 
-/// Joins the two lists of a message again; entries that make no sense are left out.
+/// Joins the two lists of a message into reports on crash suspects. Fingerprints that cannot be
+/// parsed are skipped.
 pub fn decode_suspects(crashes: &[CrashWire], cleared: &[ClearedWire]) -> Vec<SuspectWire> {
     let crashes = crashes.iter().map(|wire| SuspectWire::Crash {
         backend: wire.backend,
@@ -106,27 +107,27 @@
         members: wire
             .fingerprints
             .iter()
-            .filter_map(|fp| unhex(fp).ok().map(Fingerprint))
+            .filter_map(|fp| parse_hex(fp).ok().map(Fingerprint))
             .collect(),
     });
     let cleared = cleared.iter().filter_map(|wire| {
-        let fp = Fingerprint(unhex(&wire.fingerprint).ok()?);
+        let fp = Fingerprint(parse_hex(&wire.fingerprint).ok()?);
         Some(SuspectWire::Answered { fp, age_ms: wire.age_ms })
     });
     crashes.chain(cleared).collect()
 }
 
-/// The message that hands over the outcomes of `incarnation`.
+/// Builds the message that hands over the outcomes of `incarnation`.
 pub fn encode_hand_over(incarnation: Incarnation, outcomes: &[HandOver]) -> HandOverWire {
     let outcomes = outcomes.iter().map(OutcomeWire::from).collect();
     HandOverWire { incarnation: incarnation.0, outcomes }
 }
 
-/// The outcomes that a message hands over.
+/// Reads the outcomes from a hand-over message.
 ///
 /// # Errors
 ///
-/// When any of them makes no sense; none is taken over then.
+/// If any outcome cannot be parsed; the whole message is then rejected.
 pub fn decode_hand_over(wire: &HandOverWire) -> Result<Vec<HandOver>, InvalidMessage> {
     wire.outcomes.iter().map(HandOver::try_from).collect()
 }
@@ -139,11 +140,17 @@
                 let headers = headers
                     .map(|(name, value)| HeaderWire { name: name.clone(), value: value.clone() })
                     .collect();
-                (answer.status, headers, Some(hex_bytes(&answer.body)))
+                (answer.status, headers, Some(format_hex_bytes(&answer.body)))
             }
             HandedOutcome::AnswerDropped { status } => (*status, Vec::new(), None),
         };
-        Self { key: hex(outcome.key.0), fingerprint: hex(outcome.fp.0), status, headers, body }
+        Self {
+            key: format_hex(outcome.key.0),
+            fingerprint: format_hex(outcome.fp.0),
+            status,
+            headers,
+            body,
+        }
     }
 }
 
@@ -156,39 +163,39 @@
             Some(body) => HandedOutcome::Answered(Arc::new(Answer {
                 status,
                 headers: wire.headers.iter().map(|h| (h.name.clone(), h.value.clone())).collect(),
-                body: unhex_bytes(body)?.into(),
+                body: parse_hex_bytes(body)?.into(),
             })),
             None => HandedOutcome::AnswerDropped { status },
         };
         Ok(Self {
-            key: KeyId(unhex(&wire.key)?),
-            fp: Fingerprint(unhex(&wire.fingerprint)?),
+            key: KeyId(parse_hex(&wire.key)?),
+            fp: Fingerprint(parse_hex(&wire.fingerprint)?),
             outcome,
         })
     }
 }
 
-fn hex(number: u128) -> String {
+fn format_hex(number: u128) -> String {
     format!("{number:032x}")
 }
 
-fn unhex(text: &str) -> Result<u128, InvalidMessage> {
+fn parse_hex(text: &str) -> Result<u128, InvalidMessage> {
     u128::from_str_radix(text, 16).map_err(|_| InvalidMessage::Hex(text.to_owned()))
 }
 
-fn hex_bytes(bytes: &[u8]) -> String {
+fn format_hex_bytes(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn unhex_bytes(text: &str) -> Result<Vec<u8>, InvalidMessage> {
-    let bad = || InvalidMessage::Hex(text.to_owned());
+fn parse_hex_bytes(text: &str) -> Result<Vec<u8>, InvalidMessage> {
+    let invalid = || InvalidMessage::Hex(text.to_owned());
     let digits = text.as_bytes();
     if !digits.len().is_multiple_of(2) {
-        return Err(bad());
+        return Err(invalid());
     }
     digits
         .chunks(2)
         .map(|pair| std::str::from_utf8(pair).ok().and_then(|p| u8::from_str_radix(p, 16).ok()))
         .collect::<Option<Vec<u8>>>()
-        .ok_or_else(bad)
+        .ok_or_else(invalid)
 }
--- a/crates/galenapath-peers/src/error.rs
+++ b/crates/galenapath-peers/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the peers' plane.
+//! Errors of the peer plane.
 
 use galenapath_protocol::Verdict;
 use std::net::SocketAddr;
@@ -7,29 +7,29 @@
 /// A call to a peer that failed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum PeerError {
-    /// No connection could be made.
+    /// The connection could not be established.
     #[error("no connection to peer {to}: {reason}")]
     Unreachable {
         /// The peer.
         to: SocketAddr,
-        /// What the operating system said.
+        /// The operating system's error, or that connecting timed out.
         reason: String,
     },
-    /// The connection broke, or the answer did not come in time.
+    /// The connection broke, the answer did not arrive in time, or the peer's call queue was full.
     #[error("peer {to} did not answer: {reason}")]
     NoAnswer {
         /// The peer.
         to: SocketAddr,
-        /// What went wrong.
+        /// The cause.
         reason: String,
     },
-    /// The plane has stopped.
-    #[error("the peers' plane has stopped")]
+    /// The peer plane has stopped.
+    #[error("the peer plane has stopped")]
     Stopped,
 }
 
 impl PeerError {
-    /// Whether the peer may have acted on the call.
+    /// Whether the peer may have executed the call.
     pub const fn verdict(&self) -> Verdict {
         match self {
             Self::Unreachable { .. } => Verdict::NotRun,
@@ -38,13 +38,13 @@
     }
 }
 
-/// A message from a peer whose content makes no sense; it is dropped.
+/// Content of a message from a peer that cannot be parsed; it is dropped.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum InvalidMessage {
-    /// An address is not IP and port.
+    /// An address that is not of the form `IP:PORT`.
     #[error("peer sent `{0}` where an address was expected")]
     Address(String),
-    /// A number or body is not hexadecimal.
+    /// A number or body that is not hexadecimal.
     #[error("peer sent `{0}` where hexadecimal digits were expected")]
     Hex(String),
 }
--- a/crates/galenapath-peers/src/lib.rs
+++ b/crates/galenapath-peers/src/lib.rs
@@ -1,7 +1,7 @@
-//! How entry instances talk to each other: `tarpc` over TCP on a thread of its own.
+//! Remote procedure calls between entry instances: `tarpc` over TCP on a separate thread.
 //!
-//! `tarpc` needs a `tokio` runtime for its timers, so the plane has a thread with a current-thread
-//! runtime; the rest of the instance reaches it through channels and stays on `monoio`.
+//! `tarpc` needs a `tokio` runtime for its timers, so the peer plane runs a current-thread runtime
+//! on its own thread. The rest of the instance stays on `monoio` and reaches it through channels.
 
 mod call;
 mod codec;
--- a/crates/galenapath-peers/src/plane.rs
+++ b/crates/galenapath-peers/src/plane.rs
@@ -1,4 +1,4 @@
-//! The plane's thread.
+//! The thread of the peer plane.
 
 use crate::{PeerCall, PeerRequest, pool, server};
 use flume::{Receiver, Sender};
@@ -7,29 +7,29 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-/// Most calls and requests that wait between the plane and the rest of the instance.
-const QUEUE: usize = 1_024;
+/// Capacity of each of the two queues between the peer plane and the rest of the instance.
+const QUEUE_CAPACITY: usize = 1_024;
 
-/// The instance's end of the plane. Dropping `calls` stops the plane's thread.
+/// The instance's handle to the peer plane. Dropping `calls` stops its thread.
 pub struct PeerPlane {
-    /// Calls to peers go in here.
+    /// Sends calls to peers.
     pub calls: Sender<PeerCall>,
-    /// Calls from peers come out here.
+    /// Receives calls from peers.
     pub requests: Receiver<PeerRequest>,
-    /// The address that peers reach.
+    /// The address at which peers connect.
     pub address: SocketAddr,
 }
 
-/// Starts the plane on `listener`.
+/// Starts the peer plane on `listener`.
 ///
 /// # Errors
 ///
-/// When the listener cannot be used or the thread cannot be started.
+/// If the listener cannot be used or the thread cannot be started.
 pub fn start(listener: TcpListener) -> io::Result<PeerPlane> {
     let address = listener.local_addr()?;
     listener.set_nonblocking(true)?;
-    let (calls, calls_rx) = flume::bounded(QUEUE);
-    let (requests_tx, requests) = flume::bounded(QUEUE);
+    let (calls, calls_rx) = flume::bounded(QUEUE_CAPACITY);
+    let (requests_tx, requests) = flume::bounded(QUEUE_CAPACITY);
     let runtime = Builder::new_current_thread().enable_io().enable_time().build()?;
     let run = move || {
         LocalSet::new().block_on(&runtime, async {
@@ -37,7 +37,7 @@
                 Ok(listener) => {
                     drop(tokio::task::spawn_local(server::serve(listener, requests_tx)))
                 }
-                Err(e) => log::error!(error:% = e; "peers cannot be served"),
+                Err(e) => log::error!(error:% = e; "cannot listen for peers"),
             }
             pool::run(calls_rx).await;
         });
--- a/crates/galenapath-peers/src/pool.rs
+++ b/crates/galenapath-peers/src/pool.rs
@@ -1,4 +1,4 @@
-//! The calling side of the plane: one task and at most one connection per peer.
+//! The client side of the peer plane: one task and at most one connection per peer.
 
 use crate::PeerError;
 use crate::call::PeerCall;
@@ -14,20 +14,20 @@
 use tarpc::serde_transport::tcp;
 use tokio::task::spawn_local;
 
-/// Longest time for a call, connecting included. Longer than a crossing between regions, shorter
-/// than two probe intervals.
+/// Timeout of a call, including the connection setup. Longer than a round trip between regions,
+/// shorter than two probe intervals.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// An idle connection to a peer is closed after this time, so that an instance does not hold
-/// connections to peers that are gone. Longer than a round of probes through 520 instances, or each
-/// probe would need a new connection.
-const IDLE: Duration = Duration::from_secs(300);
+/// connections to peers that have stopped. Longer than a round of probes through 520 instances,
+/// since otherwise each probe would need a new connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// Most calls waiting for one peer.
-const QUEUE: usize = 64;
+/// Maximum number of calls queued for one peer.
+const MAX_QUEUED_CALLS: usize = 64;
 
 impl PeerCall {
-    const fn to(&self) -> SocketAddr {
+    const fn peer_address(&self) -> SocketAddr {
         match self {
             Self::Exchange { to, .. }
             | Self::Config { to, .. }
@@ -37,7 +37,7 @@
     }
 
     fn fail(self, e: PeerError) {
-        // The asker may have gone; then nobody needs the error.
+        // The caller may have stopped waiting; the error is then discarded.
         match self {
             Self::Exchange { reply, .. } => drop(reply.try_send(Err(e))),
             Self::Config { reply, .. } => drop(reply.try_send(Err(e))),
@@ -47,29 +47,29 @@
     }
 }
 
-/// Hands calls to the tasks of their peers until the instance drops its sender.
+/// Dispatches calls to the tasks of their peers until the instance drops its sender.
 pub(crate) async fn run(calls: Receiver<PeerCall>) {
     let mut peers: FastMap<SocketAddr, Sender<PeerCall>> = FastMap::default();
     while let Ok(call) = calls.recv_async().await {
-        let to = call.to();
+        let to = call.peer_address();
         peers.retain(|_, tx| !tx.is_disconnected());
         let tx = peers.entry(to).or_insert_with(|| spawn_peer(to));
         if let Err(e) = tx.try_send(call) {
-            e.into_inner().fail(no_answer(to, "too many calls wait for it"));
+            e.into_inner().fail(no_answer(to, "its call queue is full"));
         }
     }
 }
 
 fn spawn_peer(to: SocketAddr) -> Sender<PeerCall> {
-    let (tx, rx) = flume::bounded(QUEUE);
-    spawn_local(peer(to, rx));
+    let (tx, rx) = flume::bounded(MAX_QUEUED_CALLS);
+    spawn_local(make_calls(to, rx));
     tx
 }
 
-/// Serves the calls to one peer, one after the other, until there are none for a while.
-async fn peer(to: SocketAddr, calls: Receiver<PeerCall>) {
+/// Makes the calls to one peer one after another; ends after [`IDLE_TIMEOUT`] without a call.
+async fn make_calls(to: SocketAddr, calls: Receiver<PeerCall>) {
     let mut client = None;
-    while let Ok(Ok(call)) = tokio::time::timeout(IDLE, calls.recv_async()).await {
+    while let Ok(Ok(call)) = tokio::time::timeout(IDLE_TIMEOUT, calls.recv_async()).await {
         let deadline = Instant::now() + CALL_TIMEOUT;
         if client.is_none() {
             match connect(to).await {
@@ -100,33 +100,36 @@
     Ok(new.client)
 }
 
-/// Makes one call; returns whether the connection is still good.
+/// Makes one call; returns whether the connection can be reused.
 async fn perform(client: &PeerClient, to: SocketAddr, call: PeerCall, deadline: Instant) -> bool {
     let mut cx = context::current();
     cx.deadline = deadline;
     match call {
-        PeerCall::Exchange { updates: news, reply, .. } => {
-            settle(to, client.exchange(cx, news).await, &reply)
+        PeerCall::Exchange { updates, reply, .. } => {
+            send_reply(to, client.exchange(cx, updates).await, &reply)
         }
         PeerCall::Backends { after, reply, .. } => {
-            settle(to, client.backends(cx, after).await, &reply)
+            send_reply(to, client.backends(cx, after).await, &reply)
+        }
+        PeerCall::Config { after, reply, .. } => {
+            send_reply(to, client.config(cx, after).await, &reply)
         }
-        PeerCall::Config { after, reply, .. } => settle(to, client.config(cx, after).await, &reply),
         PeerCall::HandOver { outcomes, reply, .. } => {
-            settle(to, client.hand_over(cx, outcomes).await, &reply)
+            send_reply(to, client.hand_over(cx, outcomes).await, &reply)
         }
     }
 }
 
-fn settle<T>(
+/// Sends the result of a call to its caller; returns whether the call succeeded.
+fn send_reply<T>(
     to: SocketAddr,
     result: Result<T, RpcError>,
     reply: &Sender<Result<T, PeerError>>,
 ) -> bool {
-    let is_good = result.is_ok();
+    let is_ok = result.is_ok();
     let result = result.map_err(|e| no_answer(to, &e.to_string()));
     drop(reply.try_send(result));
-    is_good
+    is_ok
 }
 
 fn no_answer(to: SocketAddr, reason: &str) -> PeerError {
--- a/crates/galenapath-peers/src/rpc.rs
+++ b/crates/galenapath-peers/src/rpc.rs
@@ -1,16 +1,19 @@
-//! The calls between entry instances.
+//! The RPC interface between entry instances.
 
 use crate::generated::{BackendsWire, ConfigWire, ExchangeWire, HandOverWire};
 
-/// Calls that an entry instance answers to its peers. All are idempotent.
+/// Calls that an entry instance answers for its peers. All are idempotent.
+///
+/// The names of methods and arguments are part of the wire format and must not change.
 #[tarpc::service]
 pub(crate) trait Peer {
-    /// Tells news and hears the peer's; also the probe of failure detection.
+    /// Exchanges updates with the peer. Failure detection uses it as its probe.
     async fn exchange(news: ExchangeWire) -> ExchangeWire;
-    /// What the peer's configuration has beyond version `after`, or all of it.
+    /// Returns the changes to the peer's configuration after version `after`, or all of it.
     async fn config(after: u64) -> ConfigWire;
-    /// What the peer's list of backend servers has beyond position `after`, or all of it.
+    /// Returns the changes to the peer's list of backend servers after position `after`, or the
+    /// whole list.
     async fn backends(after: u64) -> BackendsWire;
-    /// Takes over the outcomes of an incarnation that stops; whether they were taken.
+    /// Takes over the outcomes of an incarnation that stops; returns whether they were accepted.
     async fn hand_over(outcomes: HandOverWire) -> bool;
 }
--- a/crates/galenapath-peers/src/server.rs
+++ b/crates/galenapath-peers/src/server.rs
@@ -1,4 +1,4 @@
-//! The listening side of the plane.
+//! The server side of the peer plane.
 
 use crate::PeerRequest;
 use crate::codec::NamedMessagePack;
@@ -13,14 +13,14 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// Largest message taken from a peer, in bytes; above it the connection is closed.
+/// Maximum size of a message from a peer, in bytes; a larger one closes the connection.
 pub(crate) const MAX_FRAME: usize = 8 * 1024 * 1024;
 
-/// Most connections from peers; above any number of instances designed for.
+/// Maximum number of connections from peers; more than the instances of any supported deployment.
 const MAX_CONNECTIONS: usize = 2_048;
 
-/// Pause after a failed accept, so that a lack of descriptors does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, so that a lack of file descriptors does not cause a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 #[derive(Clone)]
 struct Handler {
@@ -28,9 +28,9 @@
 }
 
 impl Handler {
-    /// Passes a request on and waits for its reply. An instance that is stopping never replies;
-    /// the peer's own deadline ends its call then.
-    async fn ask<T>(&self, request: PeerRequest, replies: Receiver<T>) -> T {
+    /// Forwards a request to the instance and waits for the reply. An instance that is stopping
+    /// never replies; the call then ends by the peer's deadline.
+    async fn forward<T>(&self, request: PeerRequest, replies: Receiver<T>) -> T {
         if self.requests.send_async(request).await.is_err() {
             return std::future::pending().await;
         }
@@ -42,52 +42,53 @@
 }
 
 impl Peer for Handler {
-    async fn exchange(self, _: Context, news: ExchangeWire) -> ExchangeWire {
+    async fn exchange(self, _: Context, updates: ExchangeWire) -> ExchangeWire {
         let (reply, replies) = flume::bounded(1);
-        self.ask(PeerRequest::Exchange { updates: news, reply }, replies).await
+        self.forward(PeerRequest::Exchange { updates, reply }, replies).await
     }
 
     async fn config(self, _: Context, after: u64) -> ConfigWire {
         let (reply, replies) = flume::bounded(1);
-        self.ask(PeerRequest::Config { after, reply }, replies).await
+        self.forward(PeerRequest::Config { after, reply }, replies).await
     }
 
     async fn backends(self, _: Context, after: u64) -> BackendsWire {
         let (reply, replies) = flume::bounded(1);
-        self.ask(PeerRequest::Backends { after, reply }, replies).await
+        self.forward(PeerRequest::Backends { after, reply }, replies).await
     }
 
     async fn hand_over(self, _: Context, outcomes: HandOverWire) -> bool {
         let (reply, replies) = flume::bounded(1);
-        self.ask(PeerRequest::HandOver { outcomes, reply }, replies).await
+        self.forward(PeerRequest::HandOver { outcomes, reply }, replies).await
     }
 }
 
-/// Accepts peers until the runtime stops; one task per connection.
+/// Accepts connections from peers until the runtime stops; one task per connection.
 pub(crate) async fn serve(listener: TcpListener, requests: Sender<PeerRequest>) {
+    // Each connection's task holds a clone, so the strong count limits the connections.
     let connections = std::rc::Rc::new(());
     loop {
         let io = match listener.accept().await {
             Ok((io, _)) => io,
             Err(e) => {
-                warn!(error:% = e; "cannot accept a peer");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                warn!(error:% = e; "failed to accept a connection from a peer");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         if std::rc::Rc::strong_count(&connections) > MAX_CONNECTIONS {
-            warn!("too many connections from peers");
+            warn!("connection from a peer closed: too many connections");
             continue;
         }
         let _ = io.set_nodelay(true);
         let mut codec = tarpc::tokio_util::codec::LengthDelimitedCodec::new();
         codec.set_max_frame_length(MAX_FRAME);
-        let framed = codec_framed(io, codec);
+        let framed = frame(io, codec);
         let transport = tarpc::serde_transport::new(framed, NamedMessagePack);
         let handler = Handler { requests: requests.clone() };
-        let held = connections.clone();
+        let guard = connections.clone();
         spawn_local(async move {
-            let _held = held;
+            let _guard = guard;
             BaseChannel::with_defaults(transport)
                 .execute(handler.serve())
                 .for_each(|response| async move {
@@ -98,7 +99,7 @@
     }
 }
 
-fn codec_framed(
+fn frame(
     io: tokio::net::TcpStream,
     codec: tarpc::tokio_util::codec::LengthDelimitedCodec,
 ) -> tarpc::tokio_util::codec::Framed<
--- a/crates/galenapath-peers/tests/plane.rs
+++ b/crates/galenapath-peers/tests/plane.rs
@@ -1,4 +1,4 @@
-//! Two planes on loopback.
+//! Calls between two peer planes over loopback.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -10,14 +10,14 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::Duration;
 
-const LIMIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 fn plane() -> PeerPlane {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0));
     listener.and_then(start).unwrap_or_else(|e| panic!("no plane: {e}"))
 }
 
-fn news(version: u64) -> ExchangeWire {
+fn exchange(version: u64) -> ExchangeWire {
     ExchangeWire {
         members: Vec::new(),
         leaving: vec![LeavingWire { backend: "b1".into(), started: 1_780_000_000_000 }],
@@ -28,41 +28,42 @@
     }
 }
 
-fn ask(
+fn send_exchange(
     from: &PeerPlane,
     to: SocketAddr,
 ) -> Receiver<Result<ExchangeWire, galenapath_peers::PeerError>> {
     let (reply, answer) = flume::bounded(1);
     from.calls
-        .send(PeerCall::Exchange { to, updates: news(u64::MAX), reply })
+        .send(PeerCall::Exchange { to, updates: exchange(u64::MAX), reply })
         .unwrap_or_else(|e| panic!("the plane has stopped: {e}"));
     answer
 }
 
 #[test]
-fn exchange_news_arrives_unchanged() {
+fn exchange_updates_arrive_unchanged() {
     let (first, second) = (plane(), plane());
-    let answer = ask(&first, second.address);
-    let PeerRequest::Exchange { updates: heard, reply } =
-        second.requests.recv_timeout(LIMIT).unwrap()
+    let answer = send_exchange(&first, second.address);
+    let PeerRequest::Exchange { updates: received, reply } =
+        second.requests.recv_timeout(TIMEOUT).unwrap()
     else {
         panic!("another call arrived");
     };
-    assert_eq!(heard, news(u64::MAX));
-    reply.send(news(7)).unwrap();
-    assert_eq!(answer.recv_timeout(LIMIT).unwrap().unwrap(), news(7));
+    assert_eq!(received, exchange(u64::MAX));
+    reply.send(exchange(7)).unwrap();
+    assert_eq!(answer.recv_timeout(TIMEOUT).unwrap().unwrap(), exchange(7));
 }
 
 #[test]
 fn exchange_silent_peer_is_an_error() {
     let (first, second) = (plane(), plane());
-    let answer = ask(&first, second.address);
-    let held = second.requests.recv_timeout(LIMIT).unwrap();
-    assert!(answer.recv_timeout(LIMIT).unwrap().is_err());
+    let answer = send_exchange(&first, second.address);
+    let held = second.requests.recv_timeout(TIMEOUT).unwrap();
+    assert!(answer.recv_timeout(TIMEOUT).unwrap().is_err());
     drop(held);
 }
 
-/// Fields are encoded by place, so that one left out would shift the others.
+/// Guards against encoding fields by position, where a field that is left out (here `body`) would
+/// shift the fields after it.
 #[test]
 fn hand_over_without_body_arrives_unchanged() {
     let (first, second) = (plane(), plane());
@@ -77,17 +78,17 @@
     let (reply, answer) = flume::bounded(1);
     let call = PeerCall::HandOver { to: second.address, outcomes: outcomes.clone(), reply };
     first.calls.send(call).unwrap();
-    let PeerRequest::HandOver { outcomes: heard, reply } =
-        second.requests.recv_timeout(LIMIT).unwrap()
+    let PeerRequest::HandOver { outcomes: received, reply } =
+        second.requests.recv_timeout(TIMEOUT).unwrap()
     else {
         panic!("another call arrived");
     };
-    assert_eq!(heard, outcomes);
+    assert_eq!(received, outcomes);
     reply.send(true).unwrap();
-    assert!(answer.recv_timeout(LIMIT).unwrap().unwrap());
+    assert!(answer.recv_timeout(TIMEOUT).unwrap().unwrap());
 }
 
-/// Both forms of the document, each with fields left empty.
+/// Both forms of the message, each with fields left out.
 #[test]
 fn config_either_form_arrives_unchanged() {
     let (first, second) = (plane(), plane());
@@ -98,12 +99,12 @@
         let (reply, answer) = flume::bounded(1);
         let call = PeerCall::Config { to: second.address, after: 7, reply };
         first.calls.send(call).unwrap();
-        let PeerRequest::Config { after, reply } = second.requests.recv_timeout(LIMIT).unwrap()
+        let PeerRequest::Config { after, reply } = second.requests.recv_timeout(TIMEOUT).unwrap()
         else {
             panic!("another call arrived");
         };
         assert_eq!(after, 7);
         reply.send(document.clone()).unwrap();
-        assert_eq!(answer.recv_timeout(LIMIT).unwrap().unwrap(), document);
+        assert_eq!(answer.recv_timeout(TIMEOUT).unwrap().unwrap(), document);
     }
 }
