--- a/crates/galenapath-platform/src/consul.rs
+++ b/crates/galenapath-platform/src/consul.rs
@@ -1,4 +1,4 @@
-//! The platform over the published Consul HTTP API.
+//! Implementation of [`Platform`] over the published Consul HTTP API.
 
 use crate::http_client::{Answer, Call, HttpClient};
 use crate::{
@@ -16,13 +16,13 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// Answer header with the position to watch from.
+/// Response header with the position from which the next watch starts.
 const INDEX_HEADER: &str = "x-consul-index";
 
-/// Client of a platform that speaks the Consul HTTP API: `kv`, `session`, `health/service` and
+/// Client of a platform that implements the Consul HTTP API: `kv`, `session`, `health/service` and
 /// `agent/service`.
 ///
-/// Belongs to the thread that made it, on a runtime with a timer.
+/// Can be used only on the thread that created it, on a runtime with a timer.
 pub struct ConsulPlatform {
     http: HttpClient,
 }
@@ -79,12 +79,13 @@
 }
 
 impl ConsulPlatform {
-    /// A client of the service at `address` whose calls take at most `timeout`.
+    /// Creates a client of the service at `address` whose calls take at most `timeout`, plus the wait
+    /// of a watch.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self { http: HttpClient::new(address, timeout) }
     }
 
-    async fn fetch(&self, key: &str, call: Call) -> Result<Read, PlatformError> {
+    async fn read_entry(&self, key: &str, call: Call) -> Result<Read, PlatformError> {
         let answer = self.http.exchange(&call).await?;
         let position = position(&answer);
         if answer.status == StatusCode::NOT_FOUND {
@@ -97,20 +98,20 @@
         Ok(Read { position: position.max(entry.index), entry: Some(entry) })
     }
 
-    /// Makes a write that the store answers with `true` or `false`.
-    async fn decide(&self, call: Call) -> Result<bool, PlatformError> {
+    /// Makes a write whose response is `true` or `false`.
+    async fn conditional_write(&self, call: Call) -> Result<bool, PlatformError> {
         let answer = self.http.exchange(&call).await?;
         match answer.body.trim_ascii() {
             b"true" => Ok(true),
             b"false" => Ok(false),
-            _ => Err(bad_answer(&call, "neither `true` nor `false`")),
+            _ => Err(bad_answer(&call, "body is neither `true` nor `false`")),
         }
     }
 }
 
 impl Platform for ConsulPlatform {
     async fn read(&self, key: &str) -> Result<Read, PlatformError> {
-        self.fetch(key, Call::get(kv_path(key))).await
+        self.read_entry(key, Call::get(kv_path(key))).await
     }
 
     async fn watch(
@@ -119,8 +120,8 @@
         after: StoreIndex,
         wait: Duration,
     ) -> Result<Read, PlatformError> {
-        let path = format!("{}?{}", kv_path(key), blocking(after, wait));
-        self.fetch(key, Call::get(path).with_wait(wait)).await
+        let path = format!("{}?{}", kv_path(key), watch_query(after, wait));
+        self.read_entry(key, Call::get(path).with_wait(wait)).await
     }
 
     async fn swap(
@@ -133,7 +134,8 @@
             Expected::Absent => 0,
             Expected::At(StoreIndex(index)) => index,
         };
-        let done = self.decide(Call::put(format!("{}?cas={cas}", kv_path(key)), value)).await?;
+        let done =
+            self.conditional_write(Call::put(format!("{}?cas={cas}", kv_path(key)), value)).await?;
         Ok(if done { SwapOutcome::Done } else { SwapOutcome::Conflict })
     }
 
@@ -154,7 +156,7 @@
 
     async fn claim(&self, key: &str, lease: &Lease, value: Bytes) -> Result<bool, PlatformError> {
         let path = format!("{}?acquire={}", kv_path(key), escape(&lease.0));
-        self.decide(Call::put(path, value)).await
+        self.conditional_write(Call::put(path, value)).await
     }
 
     async fn list(
@@ -165,7 +167,9 @@
     ) -> Result<Listing, PlatformError> {
         let path = format!("/v1/health/service/{}", escape(service));
         let call = match after {
-            Some(after) => Call::get(format!("{path}?{}", blocking(after, wait))).with_wait(wait),
+            Some(after) => {
+                Call::get(format!("{path}?{}", watch_query(after, wait))).with_wait(wait)
+            }
             None => Call::get(path),
         };
         let answer = self.http.exchange(&call).await?;
@@ -241,7 +245,7 @@
     StoreIndex(value.and_then(|v| v.to_str().ok()?.parse().ok()).unwrap_or(0))
 }
 
-fn blocking(after: StoreIndex, wait: Duration) -> String {
+fn watch_query(after: StoreIndex, wait: Duration) -> String {
     format!("index={}&wait={}ms", after.0, wait.as_millis())
 }
 
--- a/crates/galenapath-platform/src/entry.rs
+++ b/crates/galenapath-platform/src/entry.rs
@@ -1,9 +1,9 @@
-//! Values in the platform's key-value service.
+//! Entries of the platform's key-value service.
 
 use crate::{Expected, Lease};
 use bytes::Bytes;
 
-/// A position in the store's order of changes. Zero comes before every change.
+/// A position in the store's sequence of changes. Zero precedes every change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreIndex(pub u64);
 
@@ -12,23 +12,23 @@
 pub struct Entry {
     /// The value as it was written.
     pub value: Bytes,
-    /// The change that wrote the value; what a compare-and-swap expects.
+    /// Index of the change that wrote the value, for a compare-and-swap.
     pub index: StoreIndex,
     /// The lease that holds the key, if any.
     pub holder: Option<Lease>,
 }
 
-/// What a read or a watch saw.
+/// Result of a read or a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Read {
-    /// The position to watch from next; at or after the index of `entry`.
+    /// The position from which the next watch starts; at or after the index of `entry`.
     pub position: StoreIndex,
-    /// The entry, or `None` where the key is absent.
+    /// The entry, or `None` if the key is absent.
     pub entry: Option<Entry>,
 }
 
 impl Read {
-    /// What a compare-and-swap that builds on this read expects.
+    /// The expectation of a compare-and-swap that is based on this read.
     pub fn expected(&self) -> Expected {
         match &self.entry {
             Some(Entry { index, .. }) => Expected::At(*index),
--- a/crates/galenapath-platform/src/error.rs
+++ b/crates/galenapath-platform/src/error.rs
@@ -1,48 +1,48 @@
-//! Errors of the platform edge.
+//! Errors of calls to the platform.
 
 use galenapath_protocol::Verdict;
 use std::time::Duration;
 use thiserror::Error;
 
-/// A call on the platform that failed.
+/// A failed call to the platform.
 #[derive(Debug, Error)]
 #[error("{call}: {cause} (verdict {verdict})")]
 pub struct PlatformError {
-    /// The call, as method and path.
+    /// Method and path of the call.
     pub call: String,
     /// Why it failed.
     pub cause: Cause,
-    /// Whether the call may have taken effect. Never [`Verdict::Answered`].
+    /// Whether the call may have taken effect; never [`Verdict::Answered`].
     pub verdict: Verdict,
 }
 
-/// Why a call on the platform failed.
+/// Why a call to the platform failed.
 #[derive(Debug, Error)]
 pub enum Cause {
-    /// No connection to the platform.
+    /// The connection to the platform could not be established.
     #[error("cannot connect: {0}")]
     Unreachable(String),
-    /// No answer in time.
+    /// No complete answer arrived within the timeout.
     #[error("no answer within {0:?}")]
     TimedOut(Duration),
     /// The connection broke before the answer was complete.
     #[error("connection broke: {0}")]
     Broken(String),
-    /// The platform's rate limit; the call was turned away.
-    #[error("turned away by the platform's rate limit")]
+    /// The platform rejected the call because of its rate limit.
+    #[error("rejected by the platform's rate limit")]
     RateLimited,
-    /// The platform answered with an error status.
+    /// The platform answered with an error status other than its rate limit.
     #[error("status {status}: {text}")]
     ErrorStatus {
         /// HTTP status.
         status: u16,
-        /// Start of the answer's body.
+        /// Beginning of the answer's body.
         text: String,
     },
-    /// An answer that cannot be read.
-    #[error("answer cannot be read: {0}")]
+    /// The answer could not be parsed.
+    #[error("invalid answer: {0}")]
     BadAnswer(String),
-    /// A key or value that the call cannot carry.
-    #[error("call cannot be made: {0}")]
+    /// The call could not be encoded, for example because of its path or value.
+    #[error("cannot encode the call: {0}")]
     BadCall(String),
 }
--- a/crates/galenapath-platform/src/http_client.rs
+++ b/crates/galenapath-platform/src/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 exchanges with the platform over a few kept connections.
+//! HTTP/1.1 client of the platform with a small pool of idle connections.
 
 use crate::{Cause, PlatformError};
 use bytes::{Bytes, BytesMut};
@@ -15,61 +15,61 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Largest answer that is read: a listing of some ten thousand instances.
+/// Maximum size of an answer's body; enough for a listing of about ten thousand instances.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
-/// Longest idle time after which a kept connection is used again. Short, because a connection that
-/// the platform has closed meanwhile would turn a write into "may have run" for nothing.
-const MAX_IDLE: Duration = Duration::from_secs(1);
-/// Most idle connections kept.
-const MAX_KEPT: usize = 4;
-/// Most characters of an error answer that go into the message.
-const MAX_ERROR_TEXT: usize = 200;
+/// An idle connection is reused only within this time. Short, because a write on a connection that
+/// the platform has closed meanwhile fails with the verdict "may have run" although it never ran.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(1);
+/// Maximum number of idle connections in the pool.
+const MAX_IDLE_CONNECTIONS: usize = 4;
+/// Maximum number of characters of an error answer's body in an error message.
+const MAX_ERROR_CHARS: usize = 200;
 
 type Codec = ClientCodec<TcpStream>;
 type OutBody = Payload<Bytes, PayloadError>;
 type InBody = PayloadDecoder<FixedBodyDecoder, ChunkedBodyDecoder>;
 
-/// One exchange to make.
+/// One HTTP request to the platform.
 pub struct Call {
     /// HTTP method.
     pub method: Method,
-    /// Path and query, already escaped.
+    /// Path and query, percent-encoded.
     pub path: String,
-    /// Body of the request; empty for none.
+    /// Request body; empty for no body.
     pub body: Bytes,
-    /// How long the platform may hold the answer back, as in a watch.
+    /// How long the platform may delay the answer, as in a watch. Extends the timeout.
     pub wait: Duration,
 }
 
 impl Call {
-    /// A read.
+    /// Creates a GET call.
     pub fn get(path: String) -> Self {
         Self { method: Method::GET, path, body: Bytes::new(), wait: Duration::ZERO }
     }
 
-    /// A write with a body.
+    /// Creates a PUT call.
     pub fn put(path: String, body: Bytes) -> Self {
         Self { method: Method::PUT, path, body, wait: Duration::ZERO }
     }
 
-    /// A call with a body that is not idempotent by itself.
+    /// Creates a POST call, which is not idempotent in general.
     pub fn post(path: String, body: Bytes) -> Self {
         Self { method: Method::POST, path, body, wait: Duration::ZERO }
     }
 
-    /// Lets the platform hold the answer back for `wait`.
+    /// Lets the platform delay the answer by up to `wait`.
     #[must_use]
     pub fn with_wait(mut self, wait: Duration) -> Self {
         self.wait = wait;
         self
     }
 
-    /// The call as method and path, for messages.
+    /// Method and path of the call, for messages.
     pub fn name(&self) -> String {
         format!("{} {}", self.method, self.path)
     }
 
-    /// The error of this call.
+    /// Creates an error of this call.
     pub fn error(&self, cause: Cause, verdict: Verdict) -> PlatformError {
         PlatformError { call: self.name(), cause, verdict }
     }
@@ -85,31 +85,31 @@
     pub body: Bytes,
 }
 
-struct Kept {
+struct IdleConnection {
     codec: Codec,
-    since: Instant,
+    idle_since: Instant,
 }
 
-/// A client of one address. Belongs to the thread that made it.
+/// An HTTP client for one address. Can be used only on the thread that created it.
 pub struct HttpClient {
     address: SocketAddr,
     timeout: Duration,
-    /// Connections whose last answer was read to its end; newest last.
-    kept: RefCell<Vec<Kept>>,
+    /// Pool of connections whose last answer was read completely; most recently used last.
+    idle: RefCell<Vec<IdleConnection>>,
 }
 
 impl HttpClient {
-    /// A client of `address` whose calls end after `timeout`, waits not counted.
+    /// Creates a client of `address` whose calls end after `timeout` plus their wait.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
-        Self { address, timeout, kept: RefCell::default() }
+        Self { address, timeout, idle: RefCell::default() }
     }
 
-    /// Makes the call. A status of 400 and above is an error, except 404, which callers read as
-    /// absence.
+    /// Makes the call. A status of 400 or above is an error, except 404, which callers treat as an
+    /// absent entry.
     ///
     /// # Errors
     ///
-    /// Any failure, with a verdict on whether the call may have taken effect.
+    /// On any failure, with a verdict on whether the call may have taken effect.
     pub async fn exchange(&self, call: &Call) -> Result<Answer, PlatformError> {
         let verdict = Cell::new(Verdict::NotRun);
         let limit = self.timeout + call.wait;
@@ -118,19 +118,19 @@
             Ok(Err(cause)) => return Err(call.error(cause, verdict.get())),
             Err(_) => return Err(call.error(Cause::TimedOut(limit), verdict.get())),
         };
-        match refusal(&answer) {
+        match status_error(&answer) {
             Some((cause, verdict)) => Err(call.error(cause, verdict)),
             None => Ok(answer),
         }
     }
 
-    /// Tries a kept connection first. A read whose kept connection breaks goes once more over a
-    /// new one; a write does not, since it may have run.
+    /// Tries an idle connection first. If the exchange fails there, a GET call is retried once on a
+    /// new connection; a write is not, since it may have run.
     async fn attempt(&self, call: &Call, verdict: &Cell<Verdict>) -> Result<Answer, Cause> {
-        if let Some(mut codec) = self.take_kept() {
+        if let Some(mut codec) = self.take_idle() {
             match send(&mut codec, self.address, call, verdict).await {
                 Err(_) if call.method == Method::GET => verdict.set(Verdict::NotRun),
-                result => return result.inspect(|answer| self.keep(codec, answer)),
+                result => return result.inspect(|answer| self.put_idle(codec, answer)),
             }
         }
         let stream = TcpStream::connect(self.address)
@@ -139,30 +139,30 @@
         let _ = stream.set_nodelay(true);
         let mut codec = ClientCodec::new(stream);
         let answer = send(&mut codec, self.address, call, verdict).await?;
-        self.keep(codec, &answer);
+        self.put_idle(codec, &answer);
         Ok(answer)
     }
 
-    fn take_kept(&self) -> Option<Codec> {
-        let kept = self.kept.borrow_mut().pop()?;
-        if kept.since.elapsed() < MAX_IDLE {
-            return Some(kept.codec);
+    fn take_idle(&self) -> Option<Codec> {
+        let idle = self.idle.borrow_mut().pop()?;
+        if idle.idle_since.elapsed() < MAX_IDLE_TIME {
+            return Some(idle.codec);
         }
-        // The newest is too old, so the others are as well.
-        self.kept.borrow_mut().clear();
+        // This is the most recently used connection, so the others are too old as well.
+        self.idle.borrow_mut().clear();
         None
     }
 
-    fn keep(&self, codec: Codec, answer: &Answer) {
-        let mut kept = self.kept.borrow_mut();
-        if kept.len() < MAX_KEPT && !answer.closes() {
-            kept.push(Kept { codec, since: Instant::now() });
+    fn put_idle(&self, codec: Codec, answer: &Answer) {
+        let mut idle = self.idle.borrow_mut();
+        if idle.len() < MAX_IDLE_CONNECTIONS && !answer.closes_connection() {
+            idle.push(IdleConnection { codec, idle_since: Instant::now() });
         }
     }
 }
 
 impl Answer {
-    fn closes(&self) -> bool {
+    fn closes_connection(&self) -> bool {
         let value = self.headers.get(header::CONNECTION);
         value.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"))
     }
@@ -202,9 +202,10 @@
 }
 
 async fn read_body(codec: &mut Codec, headers: &HeaderMap, body: InBody) -> Result<Bytes, Cause> {
-    let too_large = || Cause::BadAnswer(format!("larger than {MAX_ANSWER_BYTES} bytes"));
-    let told = headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
-    if told.is_some_and(|len: usize| len > MAX_ANSWER_BYTES) {
+    let too_large = || Cause::BadAnswer(format!("body larger than {MAX_ANSWER_BYTES} bytes"));
+    let declared_len =
+        headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
+    if declared_len.is_some_and(|len: usize| len > MAX_ANSWER_BYTES) {
         return Err(too_large());
     }
     let mut body = body.with_io(codec);
@@ -222,8 +223,9 @@
     Ok(buf.freeze())
 }
 
-/// Statuses below 500 turn a call away before it takes effect; any other error may follow one.
-fn refusal(answer: &Answer) -> Option<(Cause, Verdict)> {
+/// Returns the error for an answer with an error status. With a status below 500 the call was
+/// rejected before it took effect; with any other error status it may have taken effect.
+fn status_error(answer: &Answer) -> Option<(Cause, Verdict)> {
     let status = answer.status;
     if status.as_u16() < 400 || status == StatusCode::NOT_FOUND {
         return None;
@@ -232,6 +234,6 @@
         return Some((Cause::RateLimited, Verdict::NotRun));
     }
     let verdict = if status.is_client_error() { Verdict::NotRun } else { Verdict::MayHaveRun };
-    let text = String::from_utf8_lossy(&answer.body).chars().take(MAX_ERROR_TEXT).collect();
+    let text = String::from_utf8_lossy(&answer.body).chars().take(MAX_ERROR_CHARS).collect();
     Some((Cause::ErrorStatus { status: status.as_u16(), text }, verdict))
 }
--- a/crates/galenapath-platform/src/key_store.rs
+++ b/crates/galenapath-platform/src/key_store.rs
@@ -11,28 +11,28 @@
     pub key: String,
     /// The value as it was written.
     pub value: Bytes,
-    /// The change that wrote the value.
+    /// Index of the change that wrote the value.
     pub revision: StoreIndex,
 }
 
-/// Whether a read may be answered with what was true seconds ago, which costs the store less.
+/// Whether a read may return a value that is seconds old, which is cheaper for the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// The newest value.
+    /// The current value.
     Current,
     /// A value that may be seconds old.
     MayBeStale,
 }
 
-/// Part of the items under a prefix. Pages are read at different moments: what changed between two
-/// pages has to be learned from a watch that starts at the first page's position.
+/// A page of the items under a prefix. Pages are read at different times, so the caller has to watch
+/// from the first page's position to learn of changes between two pages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
-    /// Items in the order of their keys.
+    /// The items, ordered by key.
     pub items: Vec<Item>,
-    /// Whether items follow after the last key of this page.
+    /// Whether there are more items after the last key of this page.
     pub has_more: bool,
-    /// Position of the store when the page was read.
+    /// The store's position when the page was read.
     pub position: StoreIndex,
 }
 
@@ -45,7 +45,7 @@
     Deleted {
         /// The key.
         key: String,
-        /// The change that removed it.
+        /// Index of the change that removed it.
         revision: StoreIndex,
     },
 }
@@ -60,30 +60,30 @@
     }
 }
 
-/// What a watch saw.
+/// Result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchOutcome {
-    /// All changes up to `position`; none where the wait ended first.
+    /// All changes up to `position`; none if the wait ended first.
     Events {
         /// The changes, oldest first.
         events: Vec<KeyEvent>,
-        /// Where the next watch starts.
+        /// The position from which the next watch starts.
         position: StoreIndex,
     },
-    /// The store has discarded the changes after the position; the keys have to be read again.
+    /// The store no longer has all changes after the given position; the keys have to be read again.
     HistoryGone,
 }
 
 /// A key-value service that is read by prefix.
 ///
 /// As with [`Platform`](crate::Platform), every call ends in bounded time, every error carries a
-/// verdict, and no call is repeated once it may have taken effect.
+/// verdict on whether the call may have taken effect, and no call that may have is retried.
 #[expect(async_fn_in_trait, reason = "futures of this workspace stay on their thread")]
 pub trait KeyStore {
-    /// Reads one key.
+    /// Reads the item of `key`.
     async fn get(&self, key: &str, freshness: Freshness) -> Result<Option<Item>, PlatformError>;
 
-    /// Reads a page of the items under `prefix`, from the first key behind `after` on.
+    /// Reads a page of the items under `prefix`, starting with the first key after `after`.
     async fn range(
         &self,
         prefix: &str,
@@ -91,7 +91,7 @@
         freshness: Freshness,
     ) -> Result<Page, PlatformError>;
 
-    /// Waits, for `wait` at most, until something under `prefix` changes after `after`.
+    /// Waits for changes under `prefix` after position `after`, for at most `wait`.
     async fn watch_prefix(
         &self,
         prefix: &str,
@@ -99,6 +99,6 @@
         wait: Duration,
     ) -> Result<WatchOutcome, PlatformError>;
 
-    /// Writes a key whatever it holds.
+    /// Writes `value` to `key` unconditionally.
     async fn put(&self, key: &str, value: Bytes) -> Result<(), PlatformError>;
 }
--- a/crates/galenapath-platform/src/lib.rs
+++ b/crates/galenapath-platform/src/lib.rs
@@ -1,9 +1,9 @@
-//! The edge to the platform: its key-value service and its list of instances.
+//! Client of the platform: its key-value service and its list of instances.
 //!
-//! Two traits are all that the rest of the workspace sees: [`Platform`] for a store that lists
-//! instances itself, spoken by [`ConsulPlatform`] with the published Consul HTTP API, and
-//! [`KeyStore`] for a plain key-value service read by prefix, whose wire stands in an adapter of its
-//! own. Both speak through one [`HttpClient`].
+//! The rest of the workspace uses two traits. [`Platform`] is a store that also lists instances;
+//! [`ConsulPlatform`] implements it over the published Consul HTTP API. [`KeyStore`] is a plain
+//! key-value service that is read by prefix; its wire format is implemented in a separate adapter
+//! crate. Both send their calls through [`HttpClient`].
 
 mod consul;
 mod entry;
--- a/crates/galenapath-platform/src/listing.rs
+++ b/crates/galenapath-platform/src/listing.rs
@@ -4,30 +4,30 @@
 use galenapath_protocol::FastMap;
 use std::net::SocketAddr;
 
-/// Metadata key that names the failure domain of an instance.
+/// Metadata key of an instance's failure domain.
 pub const DOMAIN_META: &str = "domain";
-/// Metadata key that is `live` or `leaving`.
+/// Metadata key of an instance's state, `live` or `leaving`.
 pub const STATE_META: &str = "state";
 /// Value of [`STATE_META`] on an instance that is leaving.
 pub const STATE_LEAVING: &str = "leaving";
-/// Metadata key of the service that a backend server belongs to.
+/// Metadata key of a backend server's service.
 pub const SERVICE_META: &str = "service";
 /// Metadata key of the start time of this run, in milliseconds since the Unix epoch.
 pub const STARTED_META: &str = "started";
 
-/// An instance as the platform lists it. The list lags behind the truth.
+/// An instance as listed by the platform. The list lags behind the actual state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedInstance {
     /// Name of the instance, unique within its service.
     pub id: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// What it told about itself when it was announced.
+    /// The metadata from its announcement.
     pub meta: FastMap<String, String>,
 }
 
 impl ListedInstance {
-    /// The failure domain that the instance runs in, if it told.
+    /// The failure domain in which the instance runs, if announced.
     pub fn domain(&self) -> Option<&str> {
         self.meta.get(DOMAIN_META).map(String::as_str)
     }
@@ -37,12 +37,12 @@
         self.meta.get(STATE_META).is_some_and(|value| value == STATE_LEAVING)
     }
 
-    /// The service that a backend server belongs to, if it told.
+    /// The service to which a backend server belongs, if announced.
     pub fn service(&self) -> Option<&str> {
         self.meta.get(SERVICE_META).map(String::as_str)
     }
 
-    /// Start time of this run in milliseconds since the Unix epoch; 0 where none is told.
+    /// Start time of this run in milliseconds since the Unix epoch; 0 if not announced.
     pub fn started(&self) -> u64 {
         self.meta.get(STARTED_META).and_then(|text| text.parse().ok()).unwrap_or(0)
     }
@@ -51,23 +51,23 @@
 /// The instances of one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listing {
-    /// The position to watch from next.
+    /// The position from which the next watch starts.
     pub position: StoreIndex,
-    /// The listed instances with a usable address, in the platform's order.
+    /// The listed instances with a valid address, in the platform's order.
     pub instances: Vec<ListedInstance>,
-    /// Number of listed instances left out because their address cannot be read.
+    /// Number of listed instances skipped because their address cannot be parsed.
     pub skipped: usize,
 }
 
-/// What an instance tells the platform about itself.
+/// The registration of an instance with the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announcement {
     /// Name of the instance, unique in the deployment.
     pub id: String,
     /// Service under which it is listed.
     pub service: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Further facts, such as the failure domain.
+    /// Metadata, such as the failure domain.
     pub meta: FastMap<String, String>,
 }
--- a/crates/galenapath-platform/src/platform.rs
+++ b/crates/galenapath-platform/src/platform.rs
@@ -1,4 +1,4 @@
-//! The trait behind which the platform sits.
+//! The interface to the platform.
 
 use crate::{Announcement, Expected, Lease, Listing, PlatformError, Read, StoreIndex, SwapOutcome};
 use bytes::Bytes;
@@ -6,16 +6,16 @@
 
 /// The platform's key-value service and list of instances.
 ///
-/// Every call ends within the client's timeout (a watch: its wait and the timeout) and every error
-/// carries a verdict on whether the call may have taken effect. No call is repeated once it may
-/// have taken effect; the caller reads back instead.
+/// Every call ends within the client's timeout (a watch within its wait plus the timeout), and every
+/// error carries a verdict on whether the call may have taken effect. A call that may have taken
+/// effect is never retried; the caller reads the value back instead.
 #[expect(async_fn_in_trait, reason = "futures of this workspace stay on their thread")]
 pub trait Platform {
     /// Reads the value of `key`.
     async fn read(&self, key: &str) -> Result<Read, PlatformError>;
 
-    /// Waits until the value of `key` changes after `after`, at most `wait`. Answers with what is
-    /// there then, changed or not.
+    /// Waits for a change of `key` after position `after`, for at most `wait`, and returns the entry
+    /// at that time, changed or not.
     async fn watch(
         &self,
         key: &str,
@@ -23,7 +23,7 @@
         wait: Duration,
     ) -> Result<Read, PlatformError>;
 
-    /// Writes `value` if `key` holds what is expected.
+    /// Compare-and-swap: writes `value` if the entry of `key` is as expected.
     async fn swap(
         &self,
         key: &str,
@@ -31,17 +31,18 @@
         value: Bytes,
     ) -> Result<SwapOutcome, PlatformError>;
 
-    /// Takes a lease that lapses `ttl` after its last renewal.
+    /// Acquires a lease that expires `ttl` after its last renewal.
     async fn lease(&self, ttl: Duration) -> Result<Lease, PlatformError>;
 
-    /// Renews a lease; `false` where it has lapsed.
+    /// Renews a lease; returns `false` if it has expired.
     async fn renew(&self, lease: &Lease) -> Result<bool, PlatformError>;
 
-    /// Writes `value` under `key` and holds the key; `false` where another lease holds it.
+    /// Writes `value` to `key` and holds the key with `lease`; returns `false` if another lease holds
+    /// it.
     async fn claim(&self, key: &str, lease: &Lease, value: Bytes) -> Result<bool, PlatformError>;
 
-    /// Lists the instances of `service`. With a position, waits for a change after it, at most
-    /// `wait`.
+    /// Lists the instances of `service`. With a position, first waits for a change after it, for at
+    /// most `wait`.
     async fn list(
         &self,
         service: &str,
@@ -49,9 +50,9 @@
         wait: Duration,
     ) -> Result<Listing, PlatformError>;
 
-    /// Adds this instance to the list, or replaces what the list says about it.
+    /// Adds an instance to the list or replaces its listing.
     async fn announce(&self, announcement: &Announcement) -> Result<(), PlatformError>;
 
-    /// Takes the instance off the list.
+    /// Removes the instance from the list.
     async fn withdraw(&self, id: &str) -> Result<(), PlatformError>;
 }
--- a/crates/galenapath-platform/src/swap.rs
+++ b/crates/galenapath-platform/src/swap.rs
@@ -1,21 +1,21 @@
-//! Compare-and-swap.
+//! Compare-and-swap on the platform's key-value service.
 
 use crate::StoreIndex;
 
-/// What a compare-and-swap expects to find under its key.
+/// The state of a key that a compare-and-swap requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expected {
-    /// No entry.
+    /// The key has no entry.
     Absent,
-    /// The entry that the change at this index wrote.
+    /// The entry is the one written by the change at this index.
     At(StoreIndex),
 }
 
 /// Outcome of a compare-and-swap that the store answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SwapOutcome {
-    /// The new value is in the store.
+    /// The new value was written.
     Done,
-    /// The key did not hold what was expected; the store is unchanged.
+    /// The key was not in the required state; the store is unchanged.
     Conflict,
 }
--- a/crates/galenapath-platform/tests/consul.rs
+++ b/crates/galenapath-platform/tests/consul.rs
@@ -1,4 +1,4 @@
-//! The client of the Consul HTTP API against the stand-in, in one process.
+//! The client of the Consul HTTP API against the stand-in store, in one process.
 
 #![expect(clippy::unwrap_used, reason = "helpers of tests fail as the tests do")]
 
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn swap_largest_value_kept() {
+fn swap_largest_value_stored() {
     run(StoreOptions::default(), |store| async move {
         let platform = ConsulPlatform::new(store, Duration::from_secs(5));
         let large = Bytes::from(vec![7; 1 << 20]);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn watch_wakes_on_change() {
+fn watch_returns_on_change() {
     run(StoreOptions::default(), |store| async move {
         let platform = ConsulPlatform::new(store, TIMEOUT);
         platform.swap(KEY, Expected::Absent, value("one")).await.unwrap();
@@ -142,23 +142,23 @@
             watcher.watch(KEY, position, Duration::from_secs(30)).await.unwrap()
         });
         platform.swap(KEY, read.expected(), value("two")).await.unwrap();
-        let seen = watch.await;
-        assert!(seen.position > position);
-        assert_eq!(seen.entry.unwrap().value, value("two"));
+        let changed = watch.await;
+        assert!(changed.position > position);
+        assert_eq!(changed.entry.unwrap().value, value("two"));
     });
 }
 
 #[test]
-fn watch_ends_with_its_wait() {
+fn watch_without_change_ends_after_wait() {
     run(StoreOptions::default(), |store| async move {
         let platform = ConsulPlatform::new(store, TIMEOUT);
-        let seen = platform.watch(KEY, StoreIndex(1), Duration::from_millis(20)).await.unwrap();
-        assert_eq!(seen.entry, None);
+        let read = platform.watch(KEY, StoreIndex(1), Duration::from_millis(20)).await.unwrap();
+        assert_eq!(read.entry, None);
     });
 }
 
 #[test]
-fn claim_second_holder_refused_until_lapse() {
+fn claim_by_second_lease_rejected_until_expiry() {
     run(StoreOptions::default(), |store| async move {
         let platform = ConsulPlatform::new(store, TIMEOUT);
         let first = platform.lease(Duration::from_secs(1)).await.unwrap();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn list_lags_then_shows() {
+fn list_shows_instance_after_lag() {
     run(StoreOptions { list_lag_ms: 100, ..StoreOptions::default() }, |store| async move {
         let platform = ConsulPlatform::new(store, TIMEOUT);
         let announcement = Announcement {
