--- a/crates/galenapath-gateway/src/reply.rs
+++ b/crates/galenapath-gateway/src/reply.rs
@@ -152,7 +152,7 @@
     }
     // Allocates once if the length is known: a growing buffer is copied several times and ends up
     // to twice as large.
-    let room = first.len().saturating_add(body.expected()).min(BUFFER_LIMIT);
+    let room = first.len().saturating_add(body.known_remaining()).min(BUFFER_LIMIT);
     let mut start = BytesMut::with_capacity(room);
     start.extend_from_slice(&first);
     drop(first);
--- a/crates/galenapath-http/src/body.rs
+++ b/crates/galenapath-http/src/body.rs
@@ -1,20 +1,20 @@
-//! Reading a body out of a buffer, piece by piece.
+//! Incremental reading of a body from a buffer.
 
 use crate::{Framing, HttpError};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Largest piece handed out at once, in bytes; bounds the memory of a body of any size.
+/// Maximum size of a piece, in bytes; bounds the memory used for a body of any size.
 const MAX_PIECE: usize = 64 * 1024;
 
-/// Longest line with the size of a chunk, extensions included, and longest trailer line.
+/// Maximum length of a chunk size line, including extensions, and of a trailer line, in bytes.
 const MAX_CHUNK_LINE: usize = 256;
 
-/// Most trailer lines after the last chunk; trailers are skipped.
+/// Maximum number of trailer lines after the last chunk. Trailers are discarded.
 const MAX_TRAILERS: u32 = 32;
 
-/// What `BodyState::take` found.
+/// Result of `BodyState::take`.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Take {
+pub(crate) enum TakeResult {
     /// The next piece.
     Piece(Bytes),
     /// More input is needed.
@@ -23,10 +23,10 @@
     End,
 }
 
-/// Position in a body that is being read.
+/// Progress of reading a body.
 ///
-/// Invariant: `remaining` is the number of bytes left of the body (`Length`) or of the chunk that
-/// is being read (`ChunkData`).
+/// Invariant: `remaining` is the number of bytes left in the body (`Length`) or in the current chunk
+/// (`ChunkData`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BodyState {
     phase: Phase,
@@ -46,7 +46,7 @@
 }
 
 impl BodyState {
-    /// The start of a body with `framing`.
+    /// Creates the state before the first byte of a body with `framing`.
     pub const fn new(framing: Framing) -> Self {
         let (phase, remaining) = match framing {
             Framing::None => (Phase::End, 0),
@@ -57,13 +57,13 @@
         Self { phase, remaining, trailers: 0 }
     }
 
-    /// Whether the whole body has been taken.
+    /// Whether the whole body has been read.
     pub fn is_complete(&self) -> bool {
         self.phase == Phase::End
     }
 
-    /// Bytes that are known to come next, of the body or of the chunk; zero where that is not known.
-    pub fn expected(&self) -> usize {
+    /// Number of bytes left in the body or in the current chunk; zero if unknown.
+    pub fn known_remaining(&self) -> usize {
         match self.phase {
             Phase::UntilClose => 0,
             _ => usize::try_from(self.remaining).unwrap_or(usize::MAX),
@@ -75,46 +75,46 @@
         self.phase == Phase::UntilClose
     }
 
-    /// Notes that the connection ended where it may.
-    pub(crate) fn end(&mut self) {
+    /// Marks the body as complete, after the connection ended where the framing permits it.
+    pub(crate) fn finish(&mut self) {
         self.phase = Phase::End;
     }
 
-    /// Takes the next piece from `input`.
+    /// Removes the next piece from `input`.
     ///
     /// # Errors
     ///
-    /// `BadFraming` when chunks are malformed.
-    pub(crate) fn take(&mut self, input: &mut BytesMut) -> Result<Take, HttpError> {
+    /// `BadFraming` if the chunked encoding is malformed.
+    pub(crate) fn take(&mut self, input: &mut BytesMut) -> Result<TakeResult, HttpError> {
         loop {
             let progress = match self.phase {
-                Phase::End => return Ok(Take::End),
+                Phase::End => return Ok(TakeResult::End),
                 Phase::UntilClose => return Ok(take_up_to(input, MAX_PIECE)),
-                Phase::Length => return Ok(self.take_counted(input, Phase::End)),
-                Phase::ChunkData => return Ok(self.take_counted(input, Phase::ChunkEnd)),
-                Phase::ChunkSize => self.chunk_size(input)?,
-                Phase::ChunkEnd => self.chunk_end(input)?,
-                Phase::Trailers => self.trailer(input)?,
+                Phase::Length => return Ok(self.take_remaining(input, Phase::End)),
+                Phase::ChunkData => return Ok(self.take_remaining(input, Phase::ChunkEnd)),
+                Phase::ChunkSize => self.read_chunk_size(input)?,
+                Phase::ChunkEnd => self.read_chunk_end(input)?,
+                Phase::Trailers => self.skip_trailer(input)?,
             };
             if !progress {
-                return Ok(Take::NeedInput);
+                return Ok(TakeResult::NeedInput);
             }
         }
     }
 
-    fn take_counted(&mut self, input: &mut BytesMut, next: Phase) -> Take {
-        let most = usize::try_from(self.remaining).unwrap_or(usize::MAX).min(MAX_PIECE);
-        let take = take_up_to(input, most);
-        if let Take::Piece(piece) = &take {
+    fn take_remaining(&mut self, input: &mut BytesMut, next: Phase) -> TakeResult {
+        let max = usize::try_from(self.remaining).unwrap_or(usize::MAX).min(MAX_PIECE);
+        let result = take_up_to(input, max);
+        if let TakeResult::Piece(piece) = &result {
             self.remaining -= piece.len() as u64;
         }
         if self.remaining == 0 {
             self.phase = next;
         }
-        take
+        result
     }
 
-    fn chunk_size(&mut self, input: &mut BytesMut) -> Result<bool, HttpError> {
+    fn read_chunk_size(&mut self, input: &mut BytesMut) -> Result<bool, HttpError> {
         let Some(line) = take_line(input)? else { return Ok(false) };
         let digits = line.iter().position(|&b| b == b';').unwrap_or(line.len());
         self.remaining = parse_chunk_size(&line[..digits])?;
@@ -122,7 +122,7 @@
         Ok(true)
     }
 
-    fn chunk_end(&mut self, input: &mut BytesMut) -> Result<bool, HttpError> {
+    fn read_chunk_end(&mut self, input: &mut BytesMut) -> Result<bool, HttpError> {
         if input.len() < 2 {
             return Ok(false);
         }
@@ -134,7 +134,7 @@
         Ok(true)
     }
 
-    fn trailer(&mut self, input: &mut BytesMut) -> Result<bool, HttpError> {
+    fn skip_trailer(&mut self, input: &mut BytesMut) -> Result<bool, HttpError> {
         let Some(line) = take_line(input)? else { return Ok(false) };
         if line.is_empty() {
             self.phase = Phase::End;
@@ -148,12 +148,12 @@
     }
 }
 
-fn take_up_to(input: &mut BytesMut, most: usize) -> Take {
+fn take_up_to(input: &mut BytesMut, max: usize) -> TakeResult {
     if input.is_empty() {
-        return Take::NeedInput;
+        return TakeResult::NeedInput;
     }
-    let n = input.len().min(most);
-    Take::Piece(input.split_to(n).freeze())
+    let n = input.len().min(max);
+    TakeResult::Piece(input.split_to(n).freeze())
 }
 
 fn take_line(input: &mut BytesMut) -> Result<Option<BytesMut>, HttpError> {
@@ -177,7 +177,7 @@
 fn parse_chunk_size(digits: &[u8]) -> Result<u64, HttpError> {
     const BAD: HttpError = HttpError::BadFraming("a chunk size is not a hexadecimal number");
     let digits = digits.trim_ascii_end();
-    // Sixteen digits would already reach the end of the number's range.
+    // 16 digits could already reach `u64::MAX`, so at most 15 are accepted.
     if digits.is_empty() || digits.len() > 15 || !digits.iter().all(u8::is_ascii_hexdigit) {
         return Err(BAD);
     }
--- a/crates/galenapath-http/src/connection.rs
+++ b/crates/galenapath-http/src/connection.rs
@@ -1,6 +1,6 @@
-//! One HTTP/1.1 connection, used by the side that listens and by the side that connects.
+//! An HTTP/1.1 connection, for both servers and clients.
 
-use crate::body::Take;
+use crate::body::TakeResult;
 use crate::{BodyState, Framing, HttpError, RequestHead, ResponseHead, check_head};
 use bytes::{BufMut, Bytes, BytesMut};
 use monoio::buf::{IoBufMut, SliceMut};
@@ -10,94 +10,100 @@
 use monoio_http::h1::codec::decoder::{RequestHeadDecoder, ResponseHeadDecoder};
 use std::time::Duration;
 
-/// Space made for one read inside a message, in bytes.
+/// Buffer space reserved for a read within a message, in bytes.
 const READ_SIZE: usize = 16 * 1024;
 
-/// Space made while a connection is idle, in bytes: enough for most heads, and small, since every
-/// idle connection holds it.
+/// Buffer space reserved while a connection is idle, in bytes. Enough for most heads, and small
+/// because every idle connection holds it.
 const IDLE_READ_SIZE: usize = 1024;
 
-/// Space made while only the end of a connection is waited for, in bytes: every request in progress
-/// holds it. With 16 KiB each, and large bodies copied, the instance with the most requests had a peak of
-/// 25 MB; now it has 7 MB.
+/// Buffer space reserved while only waiting for the peer to close, in bytes. Small because every
+/// request in progress holds it: with 16 KiB each, and with large bodies copied, the memory of the
+/// busiest instance peaked at 25 MB instead of 7 MB.
 const WATCH_READ_SIZE: usize = 128;
 
-/// Output beyond this many bytes is written before more is added.
-const FLUSH_SIZE: usize = 64 * 1024;
+/// The output buffer is written to the socket once it holds this many bytes.
+const FLUSH_THRESHOLD: usize = 64 * 1024;
 
-/// Bodies under this many bytes are written together with their head, in one packet.
-const COPIED_BODY: usize = 4 * 1024;
+/// A body smaller than this many bytes is copied and sent in one packet with its head.
+const MAX_COPIED_BODY: usize = 4 * 1024;
 
-/// Most bytes that a peer may send ahead of its turn while `closed` waits.
+/// Maximum number of bytes read ahead from the peer while [`Connection::closed`] waits.
 const MAX_READ_AHEAD: usize = 64 * 1024;
 
-/// Most bytes that are discarded from a peer that goes on sending while the connection closes.
+/// Maximum number of bytes discarded if the peer keeps sending while the connection is closed.
 const MAX_DISCARDED: usize = 8 * 1024 * 1024;
 
-/// How long a head may take.
+/// Timeouts for reading a head.
 #[derive(Clone, Copy, Debug)]
 pub struct HeadTimeouts {
-    /// Longest wait for the first byte.
+    /// Maximum wait for the first byte.
     pub idle: Duration,
-    /// Longest time from the first byte to the end of the head.
+    /// Maximum time from the first byte to the end of the head.
     pub head: Duration,
 }
 
 /// A connection with its read and write buffers.
 ///
-/// Invariant: `input` holds bytes received and not yet part of a message handed out; `output` holds
-/// bytes not yet written.
+/// Invariant: `input` holds bytes that were received but not yet returned as part of a message;
+/// `output` holds bytes that are not yet written.
 pub struct Connection {
     io: TcpStream,
     input: BytesMut,
     output: BytesMut,
     head_limit: usize,
-    /// Bytes read and written since they were last taken.
-    carried: u64,
+    /// Bytes read and written since the last call of `take_byte_count`.
+    byte_count: u64,
 }
 
 impl Connection {
-    /// Wraps a connected socket. Heads larger than `head_limit` bytes are refused.
+    /// Wraps a connected socket. Heads larger than `head_limit` bytes are rejected.
     pub fn new(io: TcpStream, head_limit: usize) -> Self {
-        // Small answers must not wait for an acknowledgement; a failure only costs latency.
+        // Small writes must not wait for an acknowledgement. Without the option only latency suffers,
+        // so an error is ignored.
         let _ = io.set_nodelay(true);
-        Self { io, input: BytesMut::new(), output: BytesMut::new(), head_limit, carried: 0 }
+        Self { io, input: BytesMut::new(), output: BytesMut::new(), head_limit, byte_count: 0 }
     }
 
-    /// Bytes read and written since this was last asked.
+    /// Returns the number of bytes read and written since the last call.
     pub fn take_byte_count(&mut self) -> u64 {
-        std::mem::take(&mut self.carried)
+        std::mem::take(&mut self.byte_count)
     }
 
     /// Reads the head of the next request.
     ///
     /// # Errors
     ///
-    /// `Closed` when the peer closed between requests; any other error ends the connection.
-    pub async fn read_request(&mut self, times: HeadTimeouts) -> Result<RequestHead, HttpError> {
-        self.read_head(times, |input| RequestHeadDecoder.decode(input).ok()).await
+    /// `Closed` if the peer closed the connection between requests. After any error the connection
+    /// cannot be used again.
+    pub async fn read_request(&mut self, timeouts: HeadTimeouts) -> Result<RequestHead, HttpError> {
+        self.read_head(timeouts, |input| RequestHeadDecoder.decode(input).ok()).await
     }
 
     /// Reads the head of the next answer.
     ///
     /// # Errors
     ///
-    /// `Closed` when the peer closed before the first byte; any other error ends the connection.
-    pub async fn read_response(&mut self, times: HeadTimeouts) -> Result<ResponseHead, HttpError> {
-        self.read_head(times, |input| ResponseHeadDecoder.decode(input).ok()).await
+    /// `Closed` if the peer closed the connection before the first byte. After any error the
+    /// connection cannot be used again.
+    pub async fn read_response(
+        &mut self,
+        timeouts: HeadTimeouts,
+    ) -> Result<ResponseHead, HttpError> {
+        self.read_head(timeouts, |input| ResponseHeadDecoder.decode(input).ok()).await
     }
 
     async fn read_head<T>(
         &mut self,
-        times: HeadTimeouts,
+        timeouts: HeadTimeouts,
         decode: impl Fn(&mut BytesMut) -> Option<Decoded<T>>,
     ) -> Result<T, HttpError> {
         if self.input.is_empty() {
-            // Most connections are idle most of the time, so they must not keep a large buffer.
+            // Most connections are idle most of the time, so they must not hold a large buffer.
             self.input = BytesMut::with_capacity(IDLE_READ_SIZE);
-            self.fill_within(times.idle).await?;
+            self.fill_within(timeouts.idle).await?;
         }
-        monoio::time::timeout(times.head, self.fill_head())
+        monoio::time::timeout(timeouts.head, self.fill_head())
             .await
             .map_err(|_| HttpError::HeadTimeout)??;
         match decode(&mut self.input) {
@@ -115,7 +121,7 @@
         }
     }
 
-    /// Reads until `input` starts with a whole, checked head.
+    /// Reads until `input` starts with a complete head, and validates the head.
     async fn fill_head(&mut self) -> Result<(), HttpError> {
         let mut searched = 0;
         loop {
@@ -136,8 +142,8 @@
         }
     }
 
-    /// Reads once; returns the number of bytes, 0 at the end. Cancelling loses no bytes: the spare
-    /// room is split off, so what was received before stays in `input`.
+    /// Reads once and returns the number of bytes, 0 at the end of the connection. Cancel-safe: only
+    /// the spare capacity is passed to the read, so bytes received earlier stay in `input`.
     async fn fill(&mut self) -> std::io::Result<usize> {
         self.fill_up_to(READ_SIZE).await
     }
@@ -150,7 +156,7 @@
         let (result, slice) = self.io.read(SliceMut::new(spare, 0, room)).await;
         spare = slice.into_inner();
         self.input.unsplit(spare);
-        self.carried += result.as_ref().map_or(0, |n| *n as u64);
+        self.byte_count += result.as_ref().map_or(0, |n| *n as u64);
         result
     }
 
@@ -158,15 +164,15 @@
     ///
     /// # Errors
     ///
-    /// `Truncated` when the peer closed too early, `BadFraming` on malformed chunks.
+    /// `Truncated` if the peer closed the connection too early, `BadFraming` on malformed chunks.
     pub async fn read_body(&mut self, body: &mut BodyState) -> Result<Option<Bytes>, HttpError> {
         loop {
             match body.take(&mut self.input)? {
-                Take::Piece(piece) => return Ok(Some(piece)),
-                Take::End => return Ok(None),
-                Take::NeedInput => {}
+                TakeResult::Piece(piece) => return Ok(Some(piece)),
+                TakeResult::End => return Ok(None),
+                TakeResult::NeedInput => {}
             }
-            let size = match body.expected() {
+            let size = match body.known_remaining() {
                 0 => READ_SIZE,
                 known => known.clamp(IDLE_READ_SIZE, READ_SIZE),
             };
@@ -176,20 +182,20 @@
             if !body.ends_with_connection() {
                 return Err(HttpError::Truncated);
             }
-            body.end();
+            body.finish();
         }
     }
 
-    /// The output buffer, for heads.
+    /// The output buffer, to which heads are appended.
     pub fn output(&mut self) -> &mut BytesMut {
         &mut self.output
     }
 
-    /// Appends a piece of a body; writes when enough has gathered.
+    /// Appends a piece of a body, and writes the output buffer once it is large enough.
     ///
     /// # Errors
     ///
-    /// `Io` when the socket failed.
+    /// `Io` if the socket failed.
     pub async fn write_body(&mut self, framing: Framing, piece: &[u8]) -> Result<(), HttpError> {
         if framing == Framing::Chunked {
             self.output.put_slice(format!("{:x}\r\n", piece.len()).as_bytes());
@@ -198,17 +204,17 @@
         } else {
             self.output.put_slice(piece);
         }
-        if self.output.len() >= FLUSH_SIZE {
+        if self.output.len() >= FLUSH_THRESHOLD {
             self.flush().await?;
         }
         Ok(())
     }
 
-    /// Ends a body and writes everything.
+    /// Ends a body and writes the whole output buffer.
     ///
     /// # Errors
     ///
-    /// `Io` when the socket failed.
+    /// `Io` if the socket failed.
     pub async fn finish_body(&mut self, framing: Framing) -> Result<(), HttpError> {
         if framing == Framing::Chunked {
             self.output.put_slice(b"0\r\n\r\n");
@@ -216,45 +222,45 @@
         self.flush().await
     }
 
-    /// Writes everything in the output buffer.
+    /// Writes the whole output buffer.
     ///
     /// # Errors
     ///
-    /// `Io` when the socket failed; the connection is then of no further use.
+    /// `Io` if the socket failed; the connection then cannot be used again.
     pub async fn flush(&mut self) -> Result<(), HttpError> {
         if self.output.is_empty() {
             return Ok(());
         }
         let out = self.output.split();
         let (result, _) = self.io.write_all(out).await;
-        self.carried += result? as u64;
+        self.byte_count += result? as u64;
         Ok(())
     }
 
-    /// Writes everything in the output buffer and then `body`, which is not copied.
+    /// Writes the whole output buffer and then `body`, which is copied only if it is small.
     ///
     /// # Errors
     ///
-    /// `Io` when the socket failed; the connection is then of no further use.
+    /// `Io` if the socket failed; the connection then cannot be used again.
     pub async fn flush_with(&mut self, body: Bytes) -> Result<(), HttpError> {
-        if body.len() < COPIED_BODY {
+        if body.len() < MAX_COPIED_BODY {
             self.output.put_slice(&body);
             return self.flush().await;
         }
         self.flush().await?;
         let (result, _) = self.io.write_all(body).await;
-        self.carried += result? as u64;
+        self.byte_count += result? as u64;
         Ok(())
     }
 
-    /// Whether bytes wait that no message has taken. A connection that is kept for reuse must
-    /// have none.
+    /// Whether the connection holds received bytes that belong to no message yet. A connection with
+    /// such bytes must not be reused.
     pub fn has_unread(&self) -> bool {
         !self.input.is_empty()
     }
 
-    /// Lets go of the buffers of a connection that is kept for later. A kept connection holds 16 KiB
-    /// otherwise, from the last piece that it read.
+    /// Frees the empty buffers of a connection that is kept for reuse. Otherwise such a connection
+    /// holds 16 KiB from its last read.
     pub fn shrink(&mut self) {
         if self.input.is_empty() {
             self.input = BytesMut::new();
@@ -264,8 +270,8 @@
         }
     }
 
-    /// Resolves when the peer has closed or failed. Bytes that arrive meanwhile are kept for the
-    /// next message; a peer that sends too much ahead of its turn is not watched any longer.
+    /// Resolves when the peer has closed the connection or it failed. Bytes that arrive meanwhile are
+    /// kept for the next message. After `MAX_READ_AHEAD` bytes it stops reading and never resolves.
     pub async fn closed(&mut self) {
         while self.input.len() < MAX_READ_AHEAD {
             match self.fill_up_to(WATCH_READ_SIZE).await {
@@ -276,8 +282,8 @@
         std::future::pending().await
     }
 
-    /// Whether an idle connection has been closed by the peer, or holds bytes that nobody asked
-    /// for. Does not wait.
+    /// Whether an idle connection has been closed by the peer or has received unsolicited bytes. Does
+    /// not wait.
     pub async fn is_stale(&mut self) -> bool {
         let is_ready = {
             let mut fill = std::pin::pin!(self.fill_up_to(WATCH_READ_SIZE));
@@ -287,9 +293,9 @@
         is_ready || self.has_unread()
     }
 
-    /// Closes the sending side, so that the peer sees the end of the last message, and discards what
-    /// the peer still sends for `limit` at most. A connection that is closed with input unread is
-    /// reset, which can take the last message from the peer.
+    /// Shuts down the sending side, so that the peer sees the end of the last message, and discards
+    /// further input for at most `limit`. Closing a connection with unread input would reset it, and
+    /// the peer could lose the last message.
     pub async fn close(&mut self, limit: Duration) {
         let _ = self.io.shutdown().await;
         let _ = monoio::time::timeout(limit, self.discard()).await;
@@ -311,10 +317,10 @@
     memchr::memmem::find(&input[from..], b"\r\n\r\n").map(|at| from + at + 4)
 }
 
-/// Fails early on input that will never contain the end of a strict head.
+/// Fails early on a line feed without a carriage return, which no valid head contains.
 fn reject_bare_line_feed(input: &[u8]) -> Result<(), HttpError> {
-    let bare = memchr::memchr_iter(b'\n', input).any(|at| at > 0 && input[at - 1] != b'\r');
-    if bare {
+    let has_bare = memchr::memchr_iter(b'\n', input).any(|at| at > 0 && input[at - 1] != b'\r');
+    if has_bare {
         return Err(HttpError::BadHead("a line ends without a carriage return"));
     }
     Ok(())
--- a/crates/galenapath-http/src/framing.rs
+++ b/crates/galenapath-http/src/framing.rs
@@ -1,28 +1,29 @@
-//! Where the body of a message ends.
+//! Body framing: how the end of a message's body is determined.
 
 use crate::HttpError;
 use http::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use http::{HeaderMap, Method, StatusCode, Version};
 
-/// How the end of a body is told.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// There is no body.
     None,
     /// The body has this many bytes; never zero.
     Length(u64),
-    /// The body comes in chunks.
+    /// The body uses the chunked transfer encoding.
     Chunked,
-    /// The body ends with the connection; answers only.
+    /// The body ends with the connection; only for responses.
     UntilClose,
 }
 
-/// Framing of a request's body.
+/// Determines the framing of a request's body.
 ///
 /// # Errors
 ///
-/// `BadFraming` when the head has both lengths, a repeated or bad length, or an encoding other than
-/// `chunked`: two readers could disagree about where such a request ends.
+/// `BadFraming` if the head has both `Content-Length` and `Transfer-Encoding`, a repeated or invalid
+/// length, or an encoding other than `chunked`, because two implementations could disagree on where
+/// such a request ends (request smuggling).
 pub fn request_framing(version: Version, headers: &HeaderMap) -> Result<Framing, HttpError> {
     let explicit = explicit_framing(headers)?;
     if version == Version::HTTP_10 && explicit == Some(Framing::Chunked) {
@@ -31,11 +32,11 @@
     Ok(explicit.unwrap_or(Framing::None))
 }
 
-/// Framing of the body of an answer to a request with `method`.
+/// Determines the framing of the body of a response to a request with `method`.
 ///
 /// # Errors
 ///
-/// `BadFraming` as for requests.
+/// `BadFraming` as in [`request_framing`].
 pub fn response_framing(
     method: &Method,
     status: StatusCode,
@@ -59,13 +60,13 @@
         (true, true) => {
             Err(HttpError::BadFraming("both Content-Length and Transfer-Encoding are set"))
         }
-        (true, false) => length(headers).map(Some),
-        (false, true) => chunked(headers).map(Some),
+        (true, false) => parse_content_length(headers).map(Some),
+        (false, true) => parse_transfer_encoding(headers).map(Some),
         (false, false) => Ok(None),
     }
 }
 
-fn length(headers: &HeaderMap) -> Result<Framing, HttpError> {
+fn parse_content_length(headers: &HeaderMap) -> Result<Framing, HttpError> {
     let mut values = headers.get_all(CONTENT_LENGTH).iter();
     let (Some(value), None) = (values.next(), values.next()) else {
         return Err(HttpError::BadFraming("Content-Length is repeated"));
@@ -82,7 +83,7 @@
     }
 }
 
-fn chunked(headers: &HeaderMap) -> Result<Framing, HttpError> {
+fn parse_transfer_encoding(headers: &HeaderMap) -> Result<Framing, HttpError> {
     let mut values = headers.get_all(TRANSFER_ENCODING).iter();
     let (Some(value), None) = (values.next(), values.next()) else {
         return Err(HttpError::BadFraming("Transfer-Encoding is repeated"));
@@ -90,5 +91,5 @@
     if value.as_bytes().eq_ignore_ascii_case(b"chunked") {
         return Ok(Framing::Chunked);
     }
-    Err(HttpError::BadFraming("Transfer-Encoding other than chunked"))
+    Err(HttpError::BadFraming("Transfer-Encoding is not chunked"))
 }
--- a/crates/galenapath-http/src/head.rs
+++ b/crates/galenapath-http/src/head.rs
@@ -1,24 +1,24 @@
-//! Checks and serialization of message heads.
+//! Validation and serialization of message heads.
 
 use crate::{Framing, HttpError};
 use bytes::{BufMut, BytesMut};
 use http::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use http::{HeaderMap, Method, StatusCode};
 
-/// Most header fields in one head; the limit of the parser behind this crate.
+/// Maximum number of header fields in a head; a limit of `monoio-http`'s parser.
 pub const MAX_HEADERS: usize = 96;
 
-/// Longest header name that the parser behind this crate takes.
+/// Maximum length of a header name, in bytes; a limit of `monoio-http`'s parser.
 const MAX_NAME: usize = 256;
 
-/// Checks what the parser would let through: bare line feeds and carriage returns, folded lines,
-/// NUL bytes, too many fields, overlong names.
+/// Rejects what `monoio-http`'s parser would accept: bare line feeds and carriage returns, folded
+/// lines, NUL bytes, too many fields, and names that are too long.
 ///
-/// `head` ends with its empty line.
+/// `head` has to include the empty line at its end.
 ///
 /// # Errors
 ///
-/// `BadHead` names the first fault found.
+/// `BadHead` with the first violation found.
 pub fn check_head(head: &[u8]) -> Result<(), HttpError> {
     let mut fields = 0;
     let mut lines = head.split(|&b| b == b'\n').peekable();
@@ -32,7 +32,7 @@
         check_line(line, fields)?;
         fields += 1;
     }
-    // The request line and the empty line are no fields.
+    // The count includes the start line and the empty line.
     if fields > MAX_HEADERS + 2 {
         return Err(HttpError::BadHead("too many header fields"));
     }
@@ -53,18 +53,18 @@
     Ok(())
 }
 
-/// A header field that is written beside a header map, without a place in it.
+/// A header field that is written in addition to those of a header map.
 ///
-/// Neither part may hold a carriage return, a line feed or a NUL byte.
+/// Neither name nor value may contain a carriage return, a line feed or a NUL byte.
 #[derive(Clone, Copy, Debug)]
 pub struct Field<'a> {
-    /// Its name.
+    /// Field name.
     pub name: &'static str,
-    /// Its value.
+    /// Field value.
     pub value: &'a str,
 }
 
-/// Appends a request head whose body will follow with `framing`. `fields` come after `headers`.
+/// Appends the head of a request whose body has `framing`. `fields` are written after `headers`.
 pub fn put_request(
     out: &mut BytesMut,
     method: &Method,
@@ -84,14 +84,15 @@
     out.put_slice(b"\r\n");
 }
 
-/// Appends a response head whose body will follow with `framing`. For `Framing::None` with
-/// `length_of_nothing` the head says `Content-Length: 0`; without it, nothing (HEAD, 204, 304).
+/// Appends the head of a response whose body has `framing`. With `Framing::None`,
+/// `with_zero_length` decides whether the head contains `Content-Length: 0`; it has to be false for
+/// responses to HEAD and for status 204 and 304.
 pub fn put_response(
     out: &mut BytesMut,
     status: StatusCode,
     headers: &HeaderMap,
     framing: Framing,
-    length_of_nothing: bool,
+    with_zero_length: bool,
 ) {
     out.put_slice(b"HTTP/1.1 ");
     out.put_slice(status.as_str().as_bytes());
@@ -99,7 +100,7 @@
     out.put_slice(status.canonical_reason().unwrap_or("Unknown").as_bytes());
     out.put_slice(b"\r\n");
     put_headers(out, headers);
-    put_framing(out, framing, length_of_nothing);
+    put_framing(out, framing, with_zero_length);
     out.put_slice(b"\r\n");
 }
 
@@ -125,9 +126,9 @@
     }
 }
 
-fn put_framing(out: &mut BytesMut, framing: Framing, length_of_nothing: bool) {
+fn put_framing(out: &mut BytesMut, framing: Framing, with_zero_length: bool) {
     match framing {
-        Framing::None if length_of_nothing => out.put_slice(b"content-length: 0\r\n"),
+        Framing::None if with_zero_length => out.put_slice(b"content-length: 0\r\n"),
         Framing::None => {}
         Framing::Length(n) => out.put_slice(format!("content-length: {n}\r\n").as_bytes()),
         Framing::Chunked => out.put_slice(b"transfer-encoding: chunked\r\n"),
--- a/crates/galenapath-http/src/lib.rs
+++ b/crates/galenapath-http/src/lib.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1 on one connection: strict heads, bodies in bounded pieces, cancellation.
+//! HTTP/1.1 on one connection: strict parsing of heads, bodies in pieces of bounded size,
+//! cancellation.
 //!
 //! Heads are parsed by `monoio-http`. Its body decoders hold a whole body (or chunk) in memory and
-//! its head reader has no size limit, so the framing of bodies and the limits are done here.
+//! its head reader has no size limit, so this crate implements body framing and size limits itself.
 
 mod body;
 mod connection;
--- a/crates/galenapath-http/src/request.rs
+++ b/crates/galenapath-http/src/request.rs
@@ -1,26 +1,26 @@
-//! What the head of a request says beside its framing.
+//! Host, keep-alive and `Expect` of a request's head.
 
 use crate::{RequestHead, has_connection_option};
 use http::Version;
 use http::header::{EXPECT, HOST};
 use thiserror::Error;
 
-/// Why a head cannot be served, although it can be read.
+/// Why a request is rejected although its head is well-formed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BadRequest {
-    /// A version of HTTP that is not spoken here.
-    #[error("only HTTP/1.1 and HTTP/1.0 are spoken here")]
+    /// An unsupported version of HTTP.
+    #[error("only HTTP/1.1 and HTTP/1.0 are supported")]
     Version,
-    /// No host, or more than one.
-    #[error("exactly one Host header is needed")]
+    /// No host or more than one host.
+    #[error("exactly one Host header is required")]
     Host,
-    /// A target that is neither a path nor an absolute address.
-    #[error("the target must be a path or an absolute address")]
+    /// A target that is neither a path nor an absolute URI.
+    #[error("the request target must be a path or an absolute URI")]
     Target,
 }
 
 impl BadRequest {
-    /// Short name for logs and answers.
+    /// Identifier for logs and responses.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Version => "http_version",
@@ -30,11 +30,12 @@
     }
 }
 
-/// The host that a head names, without its port; empty where HTTP/1.0 names none.
+/// Returns the host of a request without its port; empty for HTTP/1.0 without a host.
 ///
 /// # Errors
 ///
-/// When the head names none or leaves open which, so that two readers could disagree.
+/// If the version, the target or the number of hosts is not acceptable. With several hosts, two
+/// implementations could disagree on which one applies.
 pub fn request_host(head: &RequestHead) -> Result<&str, BadRequest> {
     if !matches!(head.version, Version::HTTP_11 | Version::HTTP_10) {
         return Err(BadRequest::Version);
@@ -55,7 +56,7 @@
     }
 }
 
-/// Whether the caller wants to use the connection again.
+/// Whether the caller keeps the connection open after this request.
 pub fn is_keep_alive(head: &RequestHead) -> bool {
     match head.version {
         Version::HTTP_11 => !has_connection_option(&head.headers, "close"),
@@ -63,7 +64,7 @@
     }
 }
 
-/// Whether the caller waits for an interim answer before it sends the body.
+/// Whether the caller waits for `100 Continue` before it sends the body.
 pub fn expects_continue(head: &RequestHead) -> bool {
     let value = head.headers.get(EXPECT).and_then(|value| value.to_str().ok());
     head.version == Version::HTTP_11
--- a/crates/galenapath-http/tests/body.rs
+++ b/crates/galenapath-http/tests/body.rs
@@ -1,4 +1,5 @@
-//! Bodies: whatever way they are framed and cut into pieces, they come out whole or not at all.
+//! Reading bodies: for every framing and every split into pieces, the whole body is read or an error
+//! is returned.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -6,7 +7,7 @@
 
 use galenapath_http::{Framing, HttpError, request_framing};
 use proptest::prelude::*;
-use support::{TIMES, read_whole, receive, split};
+use support::{TIMEOUTS, read_whole, receive, split};
 
 fn read(framing: Framing, bytes: &[u8]) -> Result<Vec<u8>, HttpError> {
     receive(vec![bytes.to_vec()], async |mut connection| read_whole(&mut connection, framing).await)
@@ -29,21 +30,21 @@
 }
 
 #[test]
-fn read_body_bad_chunk_size_refused() {
+fn read_body_bad_chunk_size_rejected() {
     for size in ["", "g", "-1", "+1", "0x1", " 1", "1 1", "ffffffffffffffff", "1_0"] {
         assert!(is_bad(format!("{size}\r\na\r\n0\r\n\r\n").as_bytes()), "{size:?}");
     }
 }
 
 #[test]
-fn read_body_bad_chunk_end_refused() {
+fn read_body_bad_chunk_end_rejected() {
     assert!(is_bad(b"1\r\nab\r\n0\r\n\r\n"));
     assert!(is_bad(b"1\na\n0\n\n"));
     assert!(is_bad(b"1\r\na\n0\r\n\r\n"));
 }
 
 #[test]
-fn read_body_long_chunk_line_refused() {
+fn read_body_long_chunk_line_rejected() {
     assert!(is_bad(format!("1;{}\r\na\r\n0\r\n\r\n", "x".repeat(300)).as_bytes()));
     assert!(is_bad(&[b'1'; 1_000]));
 }
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn read_body_cut_told() {
+fn read_body_truncated_is_an_error() {
     let cases: [(Framing, &[u8]); 6] = [
         (Framing::Length(5), b"abcd"),
         (Framing::Length(u64::MAX), b"abcd"),
@@ -102,7 +103,7 @@
     prop::collection::vec(any::<u8>(), 0..20_000)
 }
 
-/// Requests one after the other on a connection, each with its body framed in one of two ways.
+/// Pipelined requests whose bodies alternate between `Content-Length` and chunked framing.
 fn pipeline(bodies: &[Vec<u8>], sizes: &[usize]) -> Vec<u8> {
     let mut out = Vec::new();
     for (n, body) in bodies.iter().enumerate() {
@@ -158,12 +159,12 @@
         let sent = split(&pipeline(&bodies, &sizes), &pieces);
         receive(sent, async |mut connection| {
             for (n, body) in bodies.iter().enumerate() {
-                let head = connection.read_request(TIMES).await.unwrap();
+                let head = connection.read_request(TIMEOUTS).await.unwrap();
                 assert_eq!(head.uri.path(), format!("/{n}"));
                 let framing = request_framing(head.version, &head.headers).unwrap();
                 assert_eq!(&read_whole(&mut connection, framing).await.unwrap(), body);
             }
-            let after = connection.read_request(TIMES).await;
+            let after = connection.read_request(TIMEOUTS).await;
             assert!(matches!(after, Err(HttpError::Closed)));
         });
     }
--- a/crates/galenapath-http/tests/framing.rs
+++ b/crates/galenapath-http/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Where bodies end, and heads that leave it open.
+//! Framing of bodies, and rejection of heads with ambiguous framing.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -18,14 +18,14 @@
     request_framing(Version::HTTP_11, &headers(fields))
 }
 
-fn is_refused(fields: &[(&str, &str)]) -> bool {
-    let of_answer = response_framing(&Method::GET, StatusCode::OK, &headers(fields));
+fn is_rejected(fields: &[(&str, &str)]) -> bool {
+    let response = response_framing(&Method::GET, StatusCode::OK, &headers(fields));
     matches!(request(fields), Err(HttpError::BadFraming(_)))
-        && matches!(of_answer, Err(HttpError::BadFraming(_)))
+        && matches!(response, Err(HttpError::BadFraming(_)))
 }
 
 #[test]
-fn request_framing_told() {
+fn request_framing_from_headers() {
     assert_eq!(request(&[]).unwrap(), Framing::None);
     assert_eq!(request(&[("content-length", "0")]).unwrap(), Framing::None);
     assert_eq!(request(&[("content-length", "17")]).unwrap(), Framing::Length(17));
@@ -33,34 +33,34 @@
 }
 
 #[test]
-fn framing_both_lengths_refused() {
-    assert!(is_refused(&[("content-length", "3"), ("transfer-encoding", "chunked")]));
+fn framing_both_lengths_rejected() {
+    assert!(is_rejected(&[("content-length", "3"), ("transfer-encoding", "chunked")]));
 }
 
 #[test]
-fn framing_repeated_length_refused() {
-    assert!(is_refused(&[("content-length", "3"), ("content-length", "4")]));
-    assert!(is_refused(&[("content-length", "3"), ("content-length", "3")]));
-    assert!(is_refused(&[("content-length", "3, 3")]));
+fn framing_repeated_length_rejected() {
+    assert!(is_rejected(&[("content-length", "3"), ("content-length", "4")]));
+    assert!(is_rejected(&[("content-length", "3"), ("content-length", "3")]));
+    assert!(is_rejected(&[("content-length", "3, 3")]));
 }
 
 #[test]
-fn framing_bad_length_refused() {
+fn framing_bad_length_rejected() {
     for value in ["", "+3", "-3", "0x3", "3 3", "three", "1.0", "18446744073709551616"] {
-        assert!(is_refused(&[("content-length", value)]), "{value:?}");
+        assert!(is_rejected(&[("content-length", value)]), "{value:?}");
     }
 }
 
 #[test]
-fn framing_other_encoding_refused() {
+fn framing_other_encoding_rejected() {
     for value in ["gzip", "gzip, chunked", "chunked, chunked", "identity", "", "xchunked"] {
-        assert!(is_refused(&[("transfer-encoding", value)]), "{value:?}");
+        assert!(is_rejected(&[("transfer-encoding", value)]), "{value:?}");
     }
-    assert!(is_refused(&[("transfer-encoding", "chunked"), ("transfer-encoding", "chunked")]));
+    assert!(is_rejected(&[("transfer-encoding", "chunked"), ("transfer-encoding", "chunked")]));
 }
 
 #[test]
-fn request_framing_old_version_chunked_refused() {
+fn request_framing_old_version_chunked_rejected() {
     let headers = headers(&[("transfer-encoding", "chunked")]);
     let framing = request_framing(Version::HTTP_10, &headers);
     assert!(matches!(framing, Err(HttpError::BadFraming(_))));
--- a/crates/galenapath-http/tests/head.rs
+++ b/crates/galenapath-http/tests/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests: limits, forbidden bytes and anything at all.
+//! Reading heads: limits, forbidden bytes and arbitrary input.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -7,10 +7,10 @@
 use galenapath_http::{HttpError, MAX_HEADERS, RequestHead, check_head};
 use http::Method;
 use proptest::prelude::*;
-use support::{HEAD_LIMIT, TIMES, read_whole, receive, split};
+use support::{HEAD_LIMIT, TIMEOUTS, read_whole, receive, split};
 
 fn read(bytes: &[u8]) -> Result<RequestHead, HttpError> {
-    receive(vec![bytes.to_vec()], async |mut connection| connection.read_request(TIMES).await)
+    receive(vec![bytes.to_vec()], async |mut connection| connection.read_request(TIMEOUTS).await)
 }
 
 fn is_bad(head: &[u8]) -> bool {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn read_request_plain_taken() {
+fn read_request_plain_parsed() {
     let head = read(b"GET /a?b=c HTTP/1.1\r\nHost: lookup\r\n\r\n").unwrap();
     assert_eq!(head.method, Method::GET);
     assert_eq!(head.uri, "/a?b=c");
@@ -26,36 +26,36 @@
 }
 
 #[test]
-fn read_request_bare_line_feed_refused() {
+fn read_request_bare_line_feed_rejected() {
     assert!(is_bad(b"GET / HTTP/1.1\nHost: a\n\n"));
     assert!(is_bad(b"GET / HTTP/1.1\r\nHost: a\n\r\n"));
     assert!(is_bad(b"GET / HTTP/1.1\r\nHost: a\r\nX: b\nY: c\r\n\r\n"));
 }
 
 #[test]
-fn read_request_bare_carriage_return_refused() {
+fn read_request_bare_carriage_return_rejected() {
     assert!(is_bad(b"GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n"));
 }
 
 #[test]
-fn read_request_folded_line_refused() {
+fn read_request_folded_line_rejected() {
     assert!(is_bad(b"GET / HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n"));
     assert!(is_bad(b"GET / HTTP/1.1\r\nHost: a\r\nX: b\r\n\tc\r\n\r\n"));
 }
 
 #[test]
-fn read_request_nul_refused() {
+fn read_request_nul_rejected() {
     assert!(is_bad(b"GET / HTTP/1.1\r\nHost: a\0b\r\n\r\n"));
     assert!(is_bad(b"GET /\0 HTTP/1.1\r\nHost: a\r\n\r\n"));
 }
 
 #[test]
-fn read_request_space_before_colon_refused() {
+fn read_request_space_before_colon_rejected() {
     assert!(is_bad(b"GET / HTTP/1.1\r\nContent-Length : 4\r\n\r\nabcd"));
 }
 
 #[test]
-fn read_request_other_protocol_refused() {
+fn read_request_other_protocol_rejected() {
     assert!(is_bad(b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\r\n\r\n"));
     assert!(is_bad(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"));
     assert!(is_bad(b"GET /\r\n\r\n"));
@@ -94,12 +94,12 @@
 }
 
 #[test]
-fn read_request_cut_told() {
+fn read_request_truncated_is_an_error() {
     assert!(matches!(read(b""), Err(HttpError::Closed)));
     assert!(matches!(read(b"GET / HTTP/1.1\r\nHost"), Err(HttpError::Truncated)));
 }
 
-/// Text that looks like a head more often than random bytes do.
+/// Input composed of fragments of heads, which gets further into the parser than random bytes.
 fn almost_head() -> impl Strategy<Value = Vec<u8>> {
     let part = prop_oneof![
         Just(b"GET / HTTP/1.1\r\n".to_vec()),
@@ -125,7 +125,7 @@
     #[test]
     fn read_request_any_bytes_no_panic(bytes in almost_head()) {
         receive(vec![bytes], async |mut connection| {
-            while let Ok(head) = connection.read_request(TIMES).await {
+            while let Ok(head) = connection.read_request(TIMEOUTS).await {
                 let Ok(framing) = galenapath_http::request_framing(head.version, &head.headers)
                 else {
                     return;
@@ -142,7 +142,7 @@
         let mut answer = b"HTTP/1.1 ".to_vec();
         answer.extend_from_slice(&bytes);
         receive(vec![answer], async |mut connection| {
-            let Ok(head) = connection.read_response(TIMES).await else { return };
+            let Ok(head) = connection.read_response(TIMEOUTS).await else { return };
             let framing =
                 galenapath_http::response_framing(&Method::GET, head.status, &head.headers);
             if let Ok(framing) = framing {
@@ -155,7 +155,7 @@
     fn read_request_split_same(lengths in prop::collection::vec(1_usize..30, 1..8)) {
         let head = b"POST /a HTTP/1.1\r\nhost: lookup\r\ncontent-length: 2\r\n\r\nhi";
         receive(split(head, &lengths), async |mut connection| {
-            let head = connection.read_request(TIMES).await.unwrap();
+            let head = connection.read_request(TIMEOUTS).await.unwrap();
             assert_eq!(head.uri, "/a");
             assert_eq!(head.headers["content-length"], "2");
         });
--- a/crates/galenapath-http/tests/support/mod.rs
+++ b/crates/galenapath-http/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A connection whose peer sends given pieces and then closes.
+//! A connection whose peer sends given pieces and then closes the connection.
 
 use galenapath_http::{BodyState, Connection, Framing, HeadTimeouts, HttpError};
 use monoio::io::{AsyncWriteRent, AsyncWriteRentExt};
@@ -10,11 +10,11 @@
 /// Head limit of the connections under test, in bytes.
 pub const HEAD_LIMIT: usize = 4 * 1024;
 
-/// Times that no test waits for in vain.
-pub const TIMES: HeadTimeouts =
+/// Timeouts that no test is expected to reach.
+pub const TIMEOUTS: HeadTimeouts =
     HeadTimeouts { idle: Duration::from_secs(5), head: Duration::from_secs(5) };
 
-/// Runs `work` on a connection whose peer sends `pieces` one by one and closes.
+/// Runs `work` on a connection whose peer sends `pieces` one by one and then closes it.
 pub fn receive<T>(pieces: Vec<Vec<u8>>, work: impl AsyncFnOnce(Connection) -> T) -> T {
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new().enable_timer().build().unwrap();
     runtime.block_on(async {
@@ -24,11 +24,11 @@
         monoio::spawn(async move {
             peer.set_nodelay(true).unwrap();
             for piece in pieces {
-                // The reader may have seen enough and closed.
+                // The reader may have stopped and closed the connection.
                 if peer.write_all(piece).await.0.is_err() {
                     return;
                 }
-                turn().await;
+                yield_now().await;
             }
             let _ = peer.shutdown().await;
         });
@@ -36,8 +36,8 @@
     })
 }
 
-/// Lets other tasks run once.
-async fn turn() {
+/// Yields once to the other tasks.
+async fn yield_now() {
     let mut is_second = false;
     std::future::poll_fn(|cx| {
         if std::mem::replace(&mut is_second, true) {
@@ -49,7 +49,7 @@
     .await;
 }
 
-/// The whole body with `framing` that the connection holds next.
+/// Reads a whole body with `framing` from the connection.
 pub async fn read_whole(
     connection: &mut Connection,
     framing: Framing,
@@ -62,7 +62,7 @@
     Ok(body)
 }
 
-/// Splits `bytes` after the given lengths, over and over.
+/// Splits `bytes` into pieces of the given lengths, which are repeated until the end.
 #[allow(dead_code)]
 pub fn split(bytes: &[u8], lengths: &[usize]) -> Vec<Vec<u8>> {
     let mut pieces = Vec::new();
