--- a/crates/galenapath-http/src/body.rs
+++ b/crates/galenapath-http/src/body.rs
@@ -25,8 +25,8 @@
 
 /// Progress of reading a body.
 ///
-/// Invariant: `remaining` is the number of bytes left in the body (`Length`) or in the current chunk
-/// (`ChunkData`).
+/// Invariant: `remaining` is the number of bytes left in the body (`Length`) or in the current
+/// chunk (`ChunkData`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BodyState {
     phase: Phase,
--- a/crates/galenapath-http/src/connection.rs
+++ b/crates/galenapath-http/src/connection.rs
@@ -59,8 +59,8 @@
 impl Connection {
     /// Wraps a connected socket. Heads larger than `head_limit` bytes are rejected.
     pub fn new(io: TcpStream, head_limit: usize) -> Self {
-        // Small writes must not wait for an acknowledgement. Without the option only latency suffers,
-        // so an error is ignored.
+        // Small writes must not wait for an acknowledgement. Without the option only latency
+        // suffers, so an error is ignored.
         let _ = io.set_nodelay(true);
         Self { io, input: BytesMut::new(), output: BytesMut::new(), head_limit, byte_count: 0 }
     }
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Reads once and returns the number of bytes, 0 at the end of the connection. Cancel-safe: only
-    /// the spare capacity is passed to the read, so bytes received earlier stay in `input`.
+    /// Reads once and returns the number of bytes, 0 at the end of the connection. Cancel-safe:
+    /// only the spare capacity is passed to the read, so bytes received earlier stay in `input`.
     async fn fill(&mut self) -> std::io::Result<usize> {
         self.fill_up_to(READ_SIZE).await
     }
@@ -270,8 +270,9 @@
         }
     }
 
-    /// Resolves when the peer has closed the connection or it failed. Bytes that arrive meanwhile are
-    /// kept for the next message. After `MAX_READ_AHEAD` bytes it stops reading and never resolves.
+    /// Resolves when the peer has closed the connection or it failed. Bytes that arrive meanwhile
+    /// are kept for the next message. After `MAX_READ_AHEAD` bytes it stops reading and never
+    /// resolves.
     pub async fn closed(&mut self) {
         while self.input.len() < MAX_READ_AHEAD {
             match self.fill_up_to(WATCH_READ_SIZE).await {
@@ -282,8 +283,8 @@
         std::future::pending().await
     }
 
-    /// Whether an idle connection has been closed by the peer or has received unsolicited bytes. Does
-    /// not wait.
+    /// Whether an idle connection has been closed by the peer or has received unsolicited bytes.
+    /// Does not wait.
     pub async fn is_stale(&mut self) -> bool {
         let is_ready = {
             let mut fill = std::pin::pin!(self.fill_up_to(WATCH_READ_SIZE));
@@ -294,8 +295,8 @@
     }
 
     /// Shuts down the sending side, so that the peer sees the end of the last message, and discards
-    /// further input for at most `limit`. Closing a connection with unread input would reset it, and
-    /// the peer could lose the last message.
+    /// further input for at most `limit`. Closing a connection with unread input would reset it,
+    /// and the peer could lose the last message.
     pub async fn close(&mut self, limit: Duration) {
         let _ = self.io.shutdown().await;
         let _ = monoio::time::timeout(limit, self.discard()).await;
--- a/crates/galenapath-http/src/framing.rs
+++ b/crates/galenapath-http/src/framing.rs
@@ -21,9 +21,9 @@
 ///
 /// # Errors
 ///
-/// `BadFraming` if the head has both `Content-Length` and `Transfer-Encoding`, a repeated or invalid
-/// length, or an encoding other than `chunked`, because two implementations could disagree on where
-/// such a request ends (request smuggling).
+/// `BadFraming` if the head has both `Content-Length` and `Transfer-Encoding`, a repeated or
+/// invalid length, or an encoding other than `chunked`, because two implementations could disagree
+/// on where such a request ends (request smuggling).
 pub fn request_framing(version: Version, headers: &HeaderMap) -> Result<Framing, HttpError> {
     let explicit = explicit_framing(headers)?;
     if version == Version::HTTP_10 && explicit == Some(Framing::Chunked) {
--- a/crates/galenapath-http/tests/body.rs
+++ b/crates/galenapath-http/tests/body.rs
@@ -1,5 +1,5 @@
-//! Reading bodies: for every framing and every split into pieces, the whole body is read or an error
-//! is returned.
+//! Reading bodies: for every framing and every split into pieces, the whole body is read or an
+//! error is returned.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by panicking")]
 
--- a/crates/galenapath-peers/src/codec.rs
+++ b/crates/galenapath-peers/src/codec.rs
@@ -1,8 +1,8 @@
 //! The encoding of messages between instances: MessagePack with named fields.
 //!
 //! The MessagePack codec of `tokio-serde` encodes struct fields by position. A field that is left
-//! out would shift the fields after it, and during a rolling upgrade instances of two versions could
-//! not decode each other's messages.
+//! out would shift the fields after it, and during a rolling upgrade instances of two versions
+//! could not decode each other's messages.
 
 use bytes::{Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
--- a/crates/galenapath-platform/src/consul.rs
+++ b/crates/galenapath-platform/src/consul.rs
@@ -79,8 +79,8 @@
 }
 
 impl ConsulPlatform {
-    /// Creates a client of the service at `address` whose calls take at most `timeout`, plus the wait
-    /// of a watch.
+    /// Creates a client of the service at `address` whose calls take at most `timeout`, plus the
+    /// wait of a watch.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self { http: HttpClient::new(address, timeout) }
     }
--- a/crates/galenapath-platform/src/key_store.rs
+++ b/crates/galenapath-platform/src/key_store.rs
@@ -24,8 +24,8 @@
     MayBeStale,
 }
 
-/// A page of the items under a prefix. Pages are read at different times, so the caller has to watch
-/// from the first page's position to learn of changes between two pages.
+/// A page of the items under a prefix. Pages are read at different times, so the caller has to
+/// watch from the first page's position to learn of changes between two pages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
     /// The items, ordered by key.
@@ -70,7 +70,8 @@
         /// The position from which the next watch starts.
         position: StoreIndex,
     },
-    /// The store no longer has all changes after the given position; the keys have to be read again.
+    /// The store no longer has all changes after the given position; the keys have to be read
+    /// again.
     HistoryGone,
 }
 
--- a/crates/galenapath-platform/src/platform.rs
+++ b/crates/galenapath-platform/src/platform.rs
@@ -6,16 +6,16 @@
 
 /// The platform's key-value service and list of instances.
 ///
-/// Every call ends within the client's timeout (a watch within its wait plus the timeout), and every
-/// error carries a verdict on whether the call may have taken effect. A call that may have taken
-/// effect is never retried; the caller reads the value back instead.
+/// Every call ends within the client's timeout (a watch within its wait plus the timeout), and
+/// every error carries a verdict on whether the call may have taken effect. A call that may have
+/// taken effect is never retried; the caller reads the value back instead.
 #[expect(async_fn_in_trait, reason = "futures of this workspace stay on their thread")]
 pub trait Platform {
     /// Reads the value of `key`.
     async fn read(&self, key: &str) -> Result<Read, PlatformError>;
 
-    /// Waits for a change of `key` after position `after`, for at most `wait`, and returns the entry
-    /// at that time, changed or not.
+    /// Waits for a change of `key` after position `after`, for at most `wait`, and returns the
+    /// entry at that time, changed or not.
     async fn watch(
         &self,
         key: &str,
@@ -37,8 +37,8 @@
     /// Renews a lease; returns `false` if it has expired.
     async fn renew(&self, lease: &Lease) -> Result<bool, PlatformError>;
 
-    /// Writes `value` to `key` and holds the key with `lease`; returns `false` if another lease holds
-    /// it.
+    /// Writes `value` to `key` and holds the key with `lease`; returns `false` if another lease
+    /// holds it.
     async fn claim(&self, key: &str, lease: &Lease, value: Bytes) -> Result<bool, PlatformError>;
 
     /// Lists the instances of `service`. With a position, first waits for a change after it, for at
