--- a/crates/galenapath-peers/src/call.rs
+++ b/crates/galenapath-peers/src/call.rs
@@ -52,28 +52,28 @@
     Exchange {
         /// The peer's updates.
         updates: ExchangeWire,
-        /// Takes this instance's updates.
+        /// Reply channel for this instance's updates.
         reply: Sender<ExchangeWire>,
     },
     /// Reply with the configuration.
     Config {
         /// Version that the peer already has.
         after: u64,
-        /// Takes the configuration.
+        /// Reply channel for the configuration.
         reply: Sender<ConfigWire>,
     },
     /// Reply with the changes to the list of backend servers that the peer does not have yet.
     Backends {
         /// Position of the peer's list.
         after: u64,
-        /// Takes the changes.
+        /// Reply channel for the changes.
         reply: Sender<BackendsWire>,
     },
     /// Take over the outcomes of filings from a peer that stops.
     HandOver {
         /// The outcomes.
         outcomes: HandOverWire,
-        /// Takes whether the outcomes were accepted.
+        /// Reply channel for whether the outcomes were accepted.
         reply: Sender<bool>,
     },
 }
--- a/crates/galenapath-peers/src/error.rs
+++ b/crates/galenapath-peers/src/error.rs
@@ -15,7 +15,8 @@
         /// The operating system's error, or that connecting timed out.
         reason: String,
     },
-    /// The connection broke, the answer did not arrive in time, or the peer's call queue was full.
+    /// The connection broke, the answer did not arrive in time, or this instance's queue of calls to
+    /// the peer was full.
     #[error("peer {to} did not answer: {reason}")]
     NoAnswer {
         /// The peer.
--- a/crates/galenapath-peers/src/pool.rs
+++ b/crates/galenapath-peers/src/pool.rs
@@ -14,7 +14,7 @@
 use tarpc::serde_transport::tcp;
 use tokio::task::spawn_local;
 
-/// Timeout of a call, including the connection setup. Longer than a round trip between regions,
+/// Timeout of a call, including the connection setup. Longer than the latency between regions,
 /// shorter than two probe intervals.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
@@ -55,7 +55,7 @@
         peers.retain(|_, tx| !tx.is_disconnected());
         let tx = peers.entry(to).or_insert_with(|| spawn_peer(to));
         if let Err(e) = tx.try_send(call) {
-            e.into_inner().fail(no_answer(to, "its call queue is full"));
+            e.into_inner().fail(no_answer(to, "the queue of calls to it is full"));
         }
     }
 }
