--- a/crates/galenapath-entry/src/data/attempt.rs
+++ b/crates/galenapath-entry/src/data/attempt.rs
@@ -7,9 +7,9 @@
 use super::service::Service;
 use crate::shared::ControlEvent;
 use bytes::{Bytes, BytesMut};
-use galenapath_http::connection_has;
+use galenapath_http::has_connection_option;
 use galenapath_http::{
-    BodyState, Connection, Field, Framing, HeadTimes, HttpError, ResponseHead, put_request,
+    BodyState, Connection, Field, Framing, HeadTimeouts, HttpError, ResponseHead, put_request,
     response_framing,
 };
 use galenapath_policy::{BackendHandle, Outcome};
@@ -165,7 +165,7 @@
 pub(super) async fn read_final_head(
     connection: &mut Connection,
 ) -> Result<ResponseHead, HttpError> {
-    let times = HeadTimes { idle: HEAD_TIMEOUT, head: HEAD_TIMEOUT };
+    let times = HeadTimeouts { idle: HEAD_TIMEOUT, head: HEAD_TIMEOUT };
     loop {
         let head = connection.read_response(times).await?;
         if !head.status.is_informational() {
@@ -207,7 +207,7 @@
 
 /// Returns whether a connection can be reused after a complete answer.
 pub(super) fn can_reuse(framing: Framing, version: http::Version, headers: &HeaderMap) -> bool {
-    let closes = connection_has(headers, "close");
+    let closes = has_connection_option(headers, "close");
     framing != Framing::UntilClose && version == http::Version::HTTP_11 && !closes
 }
 
--- a/crates/galenapath-http/src/lib.rs
+++ b/crates/galenapath-http/src/lib.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1 on one connection: strict heads, bodies in bounded pieces, cancellation.
+//! HTTP/1.1 on one connection: strict parsing of heads, bodies in pieces of bounded size,
+//! cancellation.
 //!
 //! Heads are parsed by `monoio-http`. Its body decoders hold a whole body (or chunk) in memory and
-//! its head reader has no size limit, so the framing of bodies and the limits are done here.
+//! its head reader has no size limit, so this crate implements body framing and size limits itself.
 
 mod body;
 mod connection;
@@ -12,11 +13,11 @@
 mod request;
 
 pub use body::BodyState;
-pub use connection::{Connection, HeadTimes};
+pub use connection::{Connection, HeadTimeouts};
 pub use error::HttpError;
 pub use framing::{Framing, request_framing, response_framing};
 pub use head::{Field, MAX_HEADERS, check_head, put_request, put_response};
-pub use hop_by_hop::{connection_has, strip_hop_by_hop};
+pub use hop_by_hop::{has_connection_option, strip_hop_by_hop};
 pub use monoio_http::common::request::RequestHead;
 pub use monoio_http::common::response::ResponseHead;
-pub use request::{BadRequest, expects_continue, request_host, wants_keep_alive};
+pub use request::{BadRequest, expects_continue, is_keep_alive, request_host};
--- a/crates/galenapath-platform/src/lib.rs
+++ b/crates/galenapath-platform/src/lib.rs
@@ -1,9 +1,9 @@
-//! The edge to the platform: its key-value service and its list of instances.
+//! Client of the platform: its key-value service and its list of instances.
 //!
-//! Two traits are all that the rest of the workspace sees: [`Platform`] for a store that lists
-//! instances itself, spoken by [`ConsulPlatform`] with the published Consul HTTP API, and
-//! [`KeyStore`] for a plain key-value service read by prefix, whose wire stands in an adapter of its
-//! own. Both speak through one [`HttpClient`].
+//! The rest of the workspace uses two traits. [`Platform`] is a store that also lists instances;
+//! [`ConsulPlatform`] implements it over the published Consul HTTP API. [`KeyStore`] is a plain
+//! key-value service that is read by prefix; its wire format is implemented in a separate adapter
+//! crate. Both send their calls through [`HttpClient`].
 
 mod consul;
 mod entry;
@@ -19,11 +19,11 @@
 pub use entry::{Entry, Read, StoreIndex};
 pub use error::{Cause, PlatformError};
 pub use http_client::{Answer, Call, HttpClient};
-pub use key_store::{Freshness, Item, KeyEvent, KeyStore, Page, Watched};
+pub use key_store::{Freshness, Item, KeyEvent, KeyStore, Page, WatchOutcome};
 pub use lease::Lease;
 pub use listing::{
     Announcement, DOMAIN_META, ListedInstance, Listing, SERVICE_META, STARTED_META, STATE_LEAVING,
     STATE_META,
 };
 pub use platform::Platform;
-pub use swap::{Expected, Swap};
+pub use swap::{Expected, SwapOutcome};
--- a/crates/galenapath-platform/tests/consul.rs
+++ b/crates/galenapath-platform/tests/consul.rs
@@ -1,11 +1,11 @@
-//! The client of the Consul HTTP API against the stand-in, in one process.
+//! The client of the Consul HTTP API against the stand-in store, in one process.
 
 #![expect(clippy::unwrap_used, reason = "helpers of tests fail as the tests do")]
 
 use bytes::Bytes;
 use galenapath_dev::store::{StoreOptions, serve};
 use galenapath_platform::{
-    Announcement, Cause, ConsulPlatform, Expected, Platform, StoreIndex, Swap,
+    Announcement, Cause, ConsulPlatform, Expected, Platform, StoreIndex, SwapOutcome,
 };
 use galenapath_protocol::Verdict;
 use monoio::io::AsyncWriteRentExt;
@@ -50,7 +50,7 @@
         let absent = platform.read(KEY).await.unwrap();
         assert_eq!(absent.expected(), Expected::Absent);
         let swap = platform.swap(KEY, absent.expected(), value("one")).await.unwrap();
-        assert_eq!(swap, Swap::Done);
+        assert_eq!(swap, SwapOutcome::Done);
         let written = platform.read(KEY).await.unwrap();
         assert_eq!(written.entry.unwrap().value, value("one"));
     });
@@ -64,9 +64,9 @@
         let read = platform.read(KEY).await.unwrap();
         let first = platform.swap(KEY, read.expected(), value("two")).await.unwrap();
         let second = platform.swap(KEY, read.expected(), value("three")).await.unwrap();
-        assert_eq!((first, second), (Swap::Done, Swap::Conflict));
+        assert_eq!((first, second), (SwapOutcome::Done, SwapOutcome::Conflict));
         let absent = platform.swap(KEY, Expected::Absent, value("four")).await.unwrap();
-        assert_eq!(absent, Swap::Conflict);
+        assert_eq!(absent, SwapOutcome::Conflict);
     });
 }
 
@@ -106,12 +106,12 @@
 }
 
 #[test]
-fn swap_largest_value_kept() {
+fn swap_largest_value_stored() {
     run(StoreOptions::default(), |store| async move {
         let platform = ConsulPlatform::new(store, Duration::from_secs(5));
         let large = Bytes::from(vec![7; 1 << 20]);
         let swap = platform.swap(KEY, Expected::Absent, large.clone()).await.unwrap();
-        assert_eq!(swap, Swap::Done);
+        assert_eq!(swap, SwapOutcome::Done);
         assert_eq!(platform.read(KEY).await.unwrap().entry.unwrap().value, large);
         let over = Bytes::from(vec![7; (1 << 20) + 1]);
         assert!(platform.swap("other", Expected::Absent, over).await.is_err());
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn watch_wakes_on_change() {
+fn watch_returns_on_change() {
     run(StoreOptions::default(), |store| async move {
         let platform = ConsulPlatform::new(store, TIMEOUT);
         platform.swap(KEY, Expected::Absent, value("one")).await.unwrap();
@@ -142,23 +142,23 @@
             watcher.watch(KEY, position, Duration::from_secs(30)).await.unwrap()
         });
         platform.swap(KEY, read.expected(), value("two")).await.unwrap();
-        let seen = watch.await;
-        assert!(seen.position > position);
-        assert_eq!(seen.entry.unwrap().value, value("two"));
+        let changed = watch.await;
+        assert!(changed.position > position);
+        assert_eq!(changed.entry.unwrap().value, value("two"));
     });
 }
 
 #[test]
-fn watch_ends_with_its_wait() {
+fn watch_without_change_ends_after_wait() {
     run(StoreOptions::default(), |store| async move {
         let platform = ConsulPlatform::new(store, TIMEOUT);
-        let seen = platform.watch(KEY, StoreIndex(1), Duration::from_millis(20)).await.unwrap();
-        assert_eq!(seen.entry, None);
+        let read = platform.watch(KEY, StoreIndex(1), Duration::from_millis(20)).await.unwrap();
+        assert_eq!(read.entry, None);
     });
 }
 
 #[test]
-fn claim_second_holder_refused_until_lapse() {
+fn claim_by_second_lease_rejected_until_expiry() {
     run(StoreOptions::default(), |store| async move {
         let platform = ConsulPlatform::new(store, TIMEOUT);
         let first = platform.lease(Duration::from_secs(1)).await.unwrap();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn list_lags_then_shows() {
+fn list_shows_instance_after_lag() {
     run(StoreOptions { list_lag_ms: 100, ..StoreOptions::default() }, |store| async move {
         let platform = ConsulPlatform::new(store, TIMEOUT);
         let announcement = Announcement {
