--- a/src/main.rs
+++ b/src/main.rs
@@ -1,15 +1,15 @@
-//! The entry instance of galenapath.
+//! The galenapath executable: runs an entry instance or a gateway instance.
 
 use clap::{Args, Parser, Subcommand};
 use galenapath_adapter::{KvStore, PlatformDialect};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit code for settings that cannot be used.
-const EXIT_SETTINGS: u8 = 2;
+/// Exit code for invalid settings.
+const EXIT_BAD_SETTINGS: u8 = 2;
 
-/// Entry instance of galenapath: takes callers' requests and gets each to a backend server that
-/// meets its class's target.
+/// Entry instance of galenapath: receives callers' requests and forwards each to a backend server
+/// that meets the target of its class.
 #[derive(Parser)]
 #[command(
     version,
@@ -43,38 +43,38 @@
 fn main() -> ExitCode {
     let options = Options::parse();
     match (options.role, options.entry) {
-        (Some(Role::Gateway(start)), _) => gateway(&start),
-        (None, Some(start)) => entry(&start),
+        (Some(Role::Gateway(start)), _) => run_gateway(&start),
+        (None, Some(start)) => run_entry(&start),
         (None, None) => {
             eprintln!("galenapath: --settings FILE is missing; see galenapath --help");
-            ExitCode::from(EXIT_SETTINGS)
+            ExitCode::from(EXIT_BAD_SETTINGS)
         }
     }
 }
 
-fn entry(start: &Start) -> ExitCode {
+fn run_entry(start: &Start) -> ExitCode {
     let settings = match galenapath_settings::load(&start.settings) {
         Ok(settings) => settings,
-        Err(e) => return bad_settings(&e),
+        Err(e) => return report_bad_settings(&e),
     };
     if start.check_settings {
-        return good_settings(start);
+        return report_good_settings(start);
     }
     let result = galenapath_entry::start_logging(settings.log_level)
         .and_then(|()| galenapath_entry::run(settings));
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => failed(&format!("{e:#}")),
+        Err(e) => report_failure(&format!("{e:#}")),
     }
 }
 
-fn gateway(start: &Start) -> ExitCode {
+fn run_gateway(start: &Start) -> ExitCode {
     let settings = match galenapath_settings::load_gateway(&start.settings) {
         Ok(settings) => settings,
-        Err(e) => return bad_settings(&e),
+        Err(e) => return report_bad_settings(&e),
     };
     if start.check_settings {
-        return good_settings(start);
+        return report_good_settings(start);
     }
     let store = KvStore::new(settings.platform, settings.platform_timeout);
     let file = start.settings.clone();
@@ -83,21 +83,21 @@
         .and_then(|()| galenapath_gateway::run(settings, Box::new(PlatformDialect), store, read));
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => failed(&format!("{e:#}")),
+        Err(e) => report_failure(&format!("{e:#}")),
     }
 }
 
-fn bad_settings(e: &galenapath_settings::SettingsError) -> ExitCode {
+fn report_bad_settings(e: &galenapath_settings::SettingsError) -> ExitCode {
     eprintln!("galenapath: {e}");
-    ExitCode::from(EXIT_SETTINGS)
+    ExitCode::from(EXIT_BAD_SETTINGS)
 }
 
-fn good_settings(start: &Start) -> ExitCode {
+fn report_good_settings(start: &Start) -> ExitCode {
     println!("{}: settings are good", start.settings.display());
     ExitCode::SUCCESS
 }
 
-fn failed(e: &str) -> ExitCode {
+fn report_failure(e: &str) -> ExitCode {
     eprintln!("galenapath: {e}");
     ExitCode::FAILURE
 }
