--- a/crates/galenapath-entry/src/control/claims.rs
+++ b/crates/galenapath-entry/src/control/claims.rs
@@ -28,7 +28,7 @@
         return ClaimResult::StoreDown;
     };
     let value = Bytes::from(claim_text(plane.shared.incarnation, request.claim));
-    let result = plane.platform.claim(&request.path, &lease, value).await;
+    let result = plane.platform.claim(&request.key, &lease, value).await;
     plane.count_call("claim", &result);
     match result {
         Ok(true) => read_back(plane, request, ClaimResult::Won).await,
@@ -45,7 +45,7 @@
     request: &ClaimRequest,
     otherwise: ClaimResult,
 ) -> ClaimResult {
-    let result = plane.platform.read(&request.path).await;
+    let result = plane.platform.read(&request.key).await;
     plane.count_call("read", &result);
     let held = result.ok().and_then(|read| read.entry).and_then(|entry| parse(&entry.value));
     match held {
@@ -70,10 +70,10 @@
     {
         return Ok(lease.clone());
     }
-    let result = plane.platform.lease((request.lease + request.lease_use).into()).await;
+    let result = plane.platform.lease((request.lease + request.lease_max_use).into()).await;
     plane.count_call("lease", &result);
     let new = result?;
-    *lease.current.borrow_mut() = Some((new.clone(), now + request.lease_use));
+    *lease.current.borrow_mut() = Some((new.clone(), now + request.lease_max_use));
     Ok(new)
 }
 
--- a/crates/galenapath-entry/src/control/configuration.rs
+++ b/crates/galenapath-entry/src/control/configuration.rs
@@ -78,7 +78,7 @@
         Ok(head) => take_head(plane, head).await,
         Err(e) => {
             log::error!(error:% = e; "the configuration in the store cannot be read");
-            plane.shared.metrics.fault("bad_configuration");
+            plane.shared.metrics.count_fault("bad_configuration");
         }
     }
     Some(read.position)
@@ -117,7 +117,7 @@
         Applied::Stale | Applied::Gap { .. } => {}
         Applied::Diverged => {
             log::error!("a configuration was offered that contradicts the one in force");
-            plane.shared.metrics.fault("configuration_diverged");
+            plane.shared.metrics.count_fault("configuration_diverged");
         }
     }
 }
@@ -132,7 +132,7 @@
     }
     let Ok(Ok(wire)) = answer.recv_async().await else { return };
     let Some(applied) = take_document(&plane, &wire) else {
-        plane.shared.metrics.fault("bad_peer_configuration");
+        plane.shared.metrics.count_fault("bad_peer_configuration");
         return;
     };
     settle(&plane, &applied);
--- a/crates/galenapath-entry/src/control/gossip.rs
+++ b/crates/galenapath-entry/src/control/gossip.rs
@@ -3,7 +3,7 @@
 use super::plane::ControlPlane;
 use super::{backends, configuration, stop};
 use crate::data::DataCommand;
-use crate::shared::CrashNote;
+use crate::shared::CrashReport;
 use futures::future::join_all;
 use galenapath_config::Version;
 use galenapath_membership::{LeavingMark, Member, Probe};
@@ -134,11 +134,11 @@
 
 /// Takes in crashes that the data thread saw and tells every peer at once: a request that crashes
 /// backend servers may be on its way to other instances already. Replies when all have heard.
-pub(super) async fn note_crash(plane: Rc<ControlPlane>, note: CrashNote) {
-    plane.suspects.borrow_mut().merge(plane.now(), &note.facts);
+pub(super) async fn note_crash(plane: Rc<ControlPlane>, note: CrashReport) {
+    plane.suspects.borrow_mut().merge(plane.now(), &note.suspects);
     tell_all(&plane).await;
     // The request that asked may have ended.
-    let _ = note.told.try_send(());
+    let _ = note.acknowledged.try_send(());
 }
 
 /// Answers what peers ask.
--- a/crates/galenapath-entry/src/control/lists.rs
+++ b/crates/galenapath-entry/src/control/lists.rs
@@ -75,11 +75,11 @@
     set(STATE_META, state.to_owned());
     set(STARTED_META, crate::clock::unix_millis().to_string());
     set(INCARNATION_META, plane.shared.incarnation.to_string());
-    set(PEERS_META, plane.wiring.peers.to_string());
+    set(PEERS_META, plane.wiring.peer_address.to_string());
     Announcement {
         id: plane.shared.name().0.clone(),
         service: ENTRY_LIST.to_owned(),
-        address: plane.shared.callers,
+        address: plane.shared.caller_address,
         meta,
     }
 }
--- a/crates/galenapath-entry/src/control/operators/changes.rs
+++ b/crates/galenapath-entry/src/control/operators/changes.rs
@@ -18,7 +18,7 @@
 /// Decides on a change.
 pub(super) async fn change(plane: &Rc<ControlPlane>, headers: &HeaderMap, body: &[u8]) -> Answer {
     if !is_authorized(&plane.wiring.token, headers) {
-        plane.shared.metrics.fault("operator_unauthorized");
+        plane.shared.metrics.count_fault("operator_unauthorized");
         let message = "the token is missing or wrong; pass --token-file".to_owned();
         return Answer::error(StatusCode::UNAUTHORIZED, ErrorCodeWire::Unauthorized, message);
     }
--- a/crates/galenapath-entry/src/control/plane.rs
+++ b/crates/galenapath-entry/src/control/plane.rs
@@ -31,7 +31,7 @@
     /// A message for each signal to stop.
     pub stops: Receiver<()>,
     /// Address that peers reach.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The operators' token.
     pub token: String,
 }
@@ -70,8 +70,8 @@
             id: settings.instance.name.clone(),
             incarnation: shared.incarnation,
             domain: settings.instance.domain.clone(),
-            caller_address: shared.callers,
-            peer_address: wiring.peers,
+            caller_address: shared.caller_address,
+            peer_address: wiring.peer_address,
             status_version: 0,
             status: MemberStatus::Live,
         };
--- a/crates/galenapath-entry/src/control/stop.rs
+++ b/crates/galenapath-entry/src/control/stop.rs
@@ -93,7 +93,7 @@
 /// Takes over the outcomes of an incarnation that stops.
 pub(super) fn adopt(plane: &ControlPlane, wire: &HandOverWire) -> bool {
     let Ok(outcomes) = galenapath_peers::outcomes(wire) else {
-        plane.shared.metrics.fault("bad_hand_over");
+        plane.shared.metrics.count_fault("bad_hand_over");
         return false;
     };
     let from = Incarnation(wire.incarnation);
--- a/crates/galenapath-entry/src/data/attempt.rs
+++ b/crates/galenapath-entry/src/data/attempt.rs
@@ -216,7 +216,7 @@
 pub(super) fn apply_report(target: &Target<'_>, headers: &HeaderMap) {
     let Some(text) = super::request::header_text(headers, REPORT_HEADER) else { return };
     let Ok(report) = text.parse::<LoadReport>() else {
-        target.plane.shared.metrics.fault("bad_report");
+        target.plane.shared.metrics.count_fault("bad_report");
         return;
     };
     let now = target.plane.now();
--- a/crates/galenapath-entry/src/data/backend.rs
+++ b/crates/galenapath-entry/src/data/backend.rs
@@ -33,7 +33,7 @@
             address: entry.address,
             pool: Rc::new(Pool::new(entry.address)),
             running: RunningSet::default(),
-            is_leaving_reported: Cell::new(entry.leaving),
+            is_leaving_reported: Cell::new(entry.is_leaving),
         }
     }
 
--- a/crates/galenapath-entry/src/data/call.rs
+++ b/crates/galenapath-entry/src/data/call.rs
@@ -43,7 +43,7 @@
     /// Counts and logs the end of the request and adds it to the history.
     pub(super) fn record_end(&self, status: u16, verdict: Verdict, reason: &'static str) {
         let meta = &self.meta;
-        self.plane.shared.metrics.answered(&meta.class.name, verdict);
+        self.plane.shared.metrics.count_answer(&meta.class.name, verdict);
         log::debug!(
             request:% = meta.id, class = meta.class.name.as_str(),
             workspace = meta.workspace.as_str(), status, verdict = verdict.as_str(), reason;
--- a/crates/galenapath-entry/src/data/caller.rs
+++ b/crates/galenapath-entry/src/data/caller.rs
@@ -105,7 +105,7 @@
             (StatusCode::BAD_REQUEST, "bad_request")
         }
     };
-    plane.shared.metrics.fault(reason);
+    plane.shared.metrics.count_fault(reason);
     caller.keep_alive = false;
     let answer = OwnAnswer::not_run(status, reason, &e.to_string());
     // The connection is closed whether or not this fails.
--- a/crates/galenapath-entry/src/data/crash.rs
+++ b/crates/galenapath-entry/src/data/crash.rs
@@ -6,7 +6,7 @@
 
 use super::backend::Backend;
 use super::plane::DataPlane;
-use crate::shared::{ControlEvent, CrashNote};
+use crate::shared::{ControlEvent, CrashReport};
 use flume::Receiver;
 use galenapath_filings::{Fingerprint, SuspectVerdict};
 use galenapath_protocol::hash64;
@@ -69,14 +69,14 @@
 /// Records that a connection was lost while a request was on it. All requests that are running on
 /// the server become suspects, and the peers are notified.
 pub(super) fn record_connection_loss(plane: &DataPlane, backend: &Backend) -> PeerNotification {
-    plane.shared.metrics.fault("connection_lost");
+    plane.shared.metrics.count_fault("connection_lost");
     let name = hash64(BACKEND_SEED, backend.id.0.as_bytes());
     let running = backend.running.running.borrow();
     let now = plane.now();
     let mut suspects = plane.suspects.borrow_mut();
     suspects.crashed(now, name, &running);
-    let (told, rx) = flume::bounded(1);
-    let crash = CrashNote { facts: suspects.export(now), told };
+    let (acknowledged, rx) = flume::bounded(1);
+    let crash = CrashReport { suspects: suspects.export(now), acknowledged };
     let _ = plane.events.try_send(ControlEvent::Crash(crash));
     PeerNotification(rx)
 }
--- a/crates/galenapath-entry/src/data/filing_wait.rs
+++ b/crates/galenapath-entry/src/data/filing_wait.rs
@@ -73,10 +73,10 @@
 async fn claim_in_store(plane: &DataPlane, key: &FilingKey, claim: ClaimId) -> ClaimResult {
     let (reply, rx) = flume::bounded(1);
     let request = ClaimRequest {
-        path: key.claim_path(),
+        key: key.claim_path(),
         claim,
         lease: plane.filings.borrow().claim_lease(),
-        lease_use: plane.filings.borrow().claim_lease_use(),
+        lease_max_use: plane.filings.borrow().claim_lease_use(),
         reply,
     };
     if plane.events.try_send(ControlEvent::Claim(request)).is_err() {
--- a/crates/galenapath-entry/src/data/forward.rs
+++ b/crates/galenapath-entry/src/data/forward.rs
@@ -78,14 +78,14 @@
 /// Returns the instances to forward to: the incarnation itself, or its successors if it has ended.
 fn holders(plane: &DataPlane, incarnation: Incarnation) -> Vec<Member> {
     let view = plane.shared.members.load();
-    if let Some(member) = view.reachable(incarnation) {
+    if let Some(member) = view.find_reachable(incarnation) {
         return vec![member.clone()];
     }
     let usable: Vec<Incarnation> = view.usable.iter().map(|m| m.incarnation).collect();
     successors(incarnation, &usable, SUCCESSOR_COUNT)
         .into_iter()
         .filter(|successor| *successor != plane.shared.incarnation)
-        .filter_map(|successor| view.reachable(successor).cloned())
+        .filter_map(|successor| view.find_reachable(successor).cloned())
         .collect()
 }
 
--- a/crates/galenapath-entry/src/data/listener.rs
+++ b/crates/galenapath-entry/src/data/listener.rs
@@ -23,14 +23,14 @@
             Ok((io, _)) => io,
             Err(e) => {
                 log::warn!(error:% = e; "failed to accept a connection from a caller");
-                plane.shared.metrics.fault("accept_failed");
+                plane.shared.metrics.count_fault("accept_failed");
                 monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let connections = &plane.shared.metrics.caller_connections;
         if connections.get() >= max_connections {
-            plane.shared.metrics.fault("too_many_callers");
+            plane.shared.metrics.count_fault("too_many_callers");
             continue;
         }
         connections.inc();
--- a/crates/galenapath-entry/src/data/lookup.rs
+++ b/crates/galenapath-entry/src/data/lookup.rs
@@ -34,7 +34,7 @@
     };
     match result {
         None => {
-            call.plane.shared.metrics.fault("caller_gone");
+            call.plane.shared.metrics.count_fault("caller_gone");
             call.record_end(0, Verdict::MayHaveRun, "the caller went away");
             Err(HttpError::Truncated)
         }
--- a/crates/galenapath-entry/src/data/probes.rs
+++ b/crates/galenapath-entry/src/data/probes.rs
@@ -56,7 +56,7 @@
         monoio::spawn(async move {
             let sent = monoio::time::timeout(PROBE_TIMEOUT, probe(&plane, &service, handle)).await;
             if !matches!(sent, Ok(Ok(()))) {
-                plane.shared.metrics.fault("probe_failed");
+                plane.shared.metrics.count_fault("probe_failed");
             }
         });
     }
--- a/crates/galenapath-entry/src/data/service.rs
+++ b/crates/galenapath-entry/src/data/service.rs
@@ -191,7 +191,7 @@
         self.share = share;
         let specs: Vec<BackendSpec> = listed.iter().map(|b| to_spec(b, share)).collect();
         self.balancer.set_backends(now, &specs);
-        let live = listed.iter().filter(|entry| !entry.leaving).count();
+        let live = listed.iter().filter(|entry| !entry.is_leaving).count();
         let slots = u32::try_from(live).unwrap_or(u32::MAX).saturating_mul(ASSUMED_SLOTS);
         self.admission.set_service_slots(now, slots);
         let mut backends = FastMap::default();
@@ -199,7 +199,7 @@
             let existing = self.backends.remove(&entry.id).filter(|b| b.is_same_run(entry));
             let backend = existing.unwrap_or_else(|| Rc::new(Backend::new(entry)));
             backend.set_share(share);
-            if entry.leaving {
+            if entry.is_leaving {
                 backend.pool.close_idle();
             }
             backends.insert(entry.id.clone(), backend);
@@ -224,7 +224,7 @@
     BackendSpec {
         id: entry.id.clone(),
         domain: entry.domain.clone(),
-        state: if entry.leaving { BackendState::Leaving } else { BackendState::Live },
+        state: if entry.is_leaving { BackendState::Leaving } else { BackendState::Live },
         connection_share: share,
     }
 }
--- a/crates/galenapath-entry/src/error.rs
+++ b/crates/galenapath-entry/src/error.rs
@@ -1,10 +1,10 @@
-//! Errors that end an entry instance.
+//! Errors that prevent an entry instance from starting or running.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why an entry instance could not start or go on.
+/// The reason why an entry instance could not start or continue.
 #[derive(Debug, Error)]
 pub enum EntryError {
     /// An address of `[listen]` cannot be used.
--- a/crates/galenapath-entry/src/fleet.rs
+++ b/crates/galenapath-entry/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The backend servers of every service, as the platform's list gives them.
+//! The backend servers of all services, according to the platform's list.
 
 use galenapath_membership::LeavingMarks;
 use galenapath_platform::ListedInstance;
@@ -10,26 +10,26 @@
 pub struct FleetBackend {
     /// Name in the platform's list.
     pub id: BackendId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Failure domain; empty where the list does not tell.
+    /// Failure domain; empty if the list does not contain it.
     pub domain: DomainId,
-    /// Start of this run, milliseconds since the Unix epoch.
+    /// Start of the server's current process run, in milliseconds since the Unix epoch.
     pub started: u64,
-    /// Whether the list or a mark says that it leaves.
-    pub leaving: bool,
+    /// Whether it is leaving, according to the list or to a leaving mark.
+    pub is_leaving: bool,
 }
 
-/// All backend servers, by service.
+/// All backend servers, grouped by service.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// Counts up with each change that an instance sees.
+    /// Incremented with each change that this instance observes.
     pub version: u64,
     services: FastMap<String, Vec<FleetBackend>>,
 }
 
 impl Fleet {
-    /// Groups the platform's list by service. Entries without a service are left out.
+    /// Groups the platform's list by service. Entries without a service are skipped.
     pub fn from_list<'a>(
         version: u64,
         list: impl Iterator<Item = &'a ListedInstance>,
@@ -47,7 +47,7 @@
         Self { version, services }
     }
 
-    /// The backend servers of a service; empty for an unknown one.
+    /// Returns the backend servers of a service; empty for an unknown service.
     pub fn backends(&self, service: &str) -> &[FleetBackend] {
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
@@ -57,7 +57,7 @@
     let id = BackendId(listed.id.as_str().into());
     let started = listed.started();
     FleetBackend {
-        leaving: listed.leaving() || marks.is_leaving(&id, started),
+        is_leaving: listed.leaving() || marks.is_leaving(&id, started),
         id,
         address: listed.address,
         domain: DomainId(listed.domain().unwrap_or_default().into()),
--- a/crates/galenapath-entry/src/lib.rs
+++ b/crates/galenapath-entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry instance: takes callers' requests and gets each to a backend server.
+//! The entry instance: receives callers' requests and forwards each to a backend server.
 
 mod clock;
 mod control;
--- a/crates/galenapath-entry/src/logging.rs
+++ b/crates/galenapath-entry/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logging to standard error, one line per event with its fields.
+//! Logging to standard error, one line per record, with its fields.
 
 use crate::EntryError;
 use error_stack::{Report, ResultExt};
@@ -8,22 +8,22 @@
 use log::{LevelFilter, Record};
 use std::fmt::{Arguments, Write};
 
-/// Sends the log to standard error from `level` up.
+/// Writes log records of `level` and more severe ones to standard error.
 ///
 /// # Errors
 ///
-/// When the process has a logger already.
+/// If the process already has a logger.
 pub fn start(level: LogLevel) -> Result<(), Report<EntryError>> {
     Dispatch::new()
-        .format(line)
-        .level(filter(level))
+        .format(format_line)
+        .level(to_filter(level))
         .level_for("tarpc", LevelFilter::Error)
         .chain(std::io::stderr())
         .apply()
         .change_context(EntryError::Start("the log"))
 }
 
-const fn filter(level: LogLevel) -> LevelFilter {
+const fn to_filter(level: LogLevel) -> LevelFilter {
     match level {
         LogLevel::Error => LevelFilter::Error,
         LogLevel::Warn => LevelFilter::Warn,
@@ -33,14 +33,14 @@
     }
 }
 
-fn line(out: FormatCallback<'_>, message: &Arguments<'_>, record: &Record<'_>) {
+fn format_line(out: FormatCallback<'_>, message: &Arguments<'_>, record: &Record<'_>) {
     let mut fields = Fields(String::new());
     let _ = record.key_values().visit(&mut fields);
     let at = humantime::format_rfc3339_millis(std::time::SystemTime::now());
     out.finish(format_args!("{at} {} {message}{}", record.level(), fields.0));
 }
 
-/// Fields of an event as ` key=value` pairs.
+/// The fields of a log record, formatted as ` key=value` pairs.
 struct Fields(String);
 
 impl<'kvs> VisitSource<'kvs> for Fields {
--- a/crates/galenapath-entry/src/metrics.rs
+++ b/crates/galenapath-entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of an instance, in the Prometheus format.
+//! Metrics of an instance in the Prometheus format.
 
 use galenapath_protocol::Verdict;
 use prometheus::{
@@ -6,57 +6,59 @@
     Registry, TextEncoder,
 };
 
-/// Upper bounds of the latency histograms in seconds: finest around the promised 1.5 ms.
+/// Upper bounds of the latency histogram buckets in seconds. They are finest around the latency
+/// target of 1.5 ms.
 const LATENCY_BUCKETS: &[f64] = &[
     0.000_25, 0.000_5, 0.001, 0.001_5, 0.002, 0.003, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0,
     2.5, 10.0,
 ];
 
-/// All metrics of an instance. Each is cheap to touch from any thread.
+/// All metrics of an instance. Updating them is cheap from any thread.
 pub struct Metrics {
     registry: Registry,
-    /// Answers to callers, by class and verdict.
+    /// Answers sent to callers, by class and verdict.
     pub answers: IntCounterVec,
-    /// Requests turned away, by class and reason.
+    /// Rejected requests, by class and reason.
     pub rejections: IntCounterVec,
-    /// Time from the head of a request to the head of its answer, by class, in seconds.
+    /// Time from receiving the head of a request to sending the head of its answer, by class, in
+    /// seconds.
     pub latency: HistogramVec,
     /// Time that a request waited for admission, in seconds.
     pub wait: Histogram,
-    /// Attempts at backend servers, by outcome.
+    /// Attempts to run requests on backend servers, by outcome.
     pub attempts: IntCounterVec,
     /// Retries sent.
     pub retries: IntCounter,
-    /// Second copies sent.
+    /// Hedged requests sent.
     pub hedges: IntCounter,
-    /// Probes sent to measure load.
+    /// Load probes sent.
     pub probes: IntCounter,
-    /// Faults seen, by kind.
+    /// Faults, by kind.
     pub faults: IntCounterVec,
-    /// Filings by how they were decided.
+    /// Filings, by decision.
     pub filings: IntCounterVec,
-    /// Calls on the platform's key-value service, by kind and result.
+    /// Calls to the platform, by kind and result.
     pub platform_calls: IntCounterVec,
-    /// Messages to and from peers, by direction.
+    /// Messages sent to and received from peers, by direction.
     pub peer_messages: IntCounterVec,
-    /// Connections from callers.
+    /// Open connections from callers.
     pub caller_connections: IntGauge,
-    /// Connections to backend servers.
+    /// Open connections to backend servers.
     pub backend_connections: IntGauge,
-    /// Version of the configuration in force.
+    /// Version of the configuration that is in force.
     pub config_version: IntGauge,
-    /// Usable entry instances, this one included.
+    /// Number of usable entry instances, including this one.
     pub members: IntGauge,
-    /// Records of filings held.
+    /// Number of filing records in memory.
     pub filing_records: IntGauge,
 }
 
 impl Metrics {
-    /// Registers all metrics.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
     ///
-    /// When two metrics have the same name, which is a fault in this file.
+    /// If two metrics have the same name, which is a mistake in this file.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let r = &registry;
@@ -88,31 +90,31 @@
     }
 
     /// Counts an answer to a caller.
-    pub fn answered(&self, class: &str, verdict: Verdict) {
+    pub fn count_answer(&self, class: &str, verdict: Verdict) {
         self.answers.with_label_values(&[class, verdict.as_str()]).inc();
     }
 
     /// Counts a fault.
-    pub fn fault(&self, kind: &str) {
+    pub fn count_fault(&self, kind: &str) {
         self.faults.with_label_values(&[kind]).inc();
     }
 
-    /// The metrics in the Prometheus text format.
+    /// Returns the metrics in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
         let mut out = Vec::new();
         if let Err(e) = TextEncoder::new().encode(&self.registry.gather(), &mut out) {
-            log::error!(error:% = e; "metrics cannot be rendered");
+            log::error!(error:% = e; "cannot encode metrics");
         }
         out
     }
 }
 
-fn name(suffix: &str) -> String {
+fn full_name(suffix: &str) -> String {
     format!("galenapath_{suffix}")
 }
 
 fn counter(r: &Registry, suffix: &str, help: &str) -> Result<IntCounter, prometheus::Error> {
-    let metric = IntCounter::new(name(suffix), help)?;
+    let metric = IntCounter::new(full_name(suffix), help)?;
     r.register(Box::new(metric.clone()))?;
     Ok(metric)
 }
@@ -123,19 +125,19 @@
     help: &str,
     labels: &[&str],
 ) -> Result<IntCounterVec, prometheus::Error> {
-    let metric = IntCounterVec::new(Opts::new(name(suffix), help), labels)?;
+    let metric = IntCounterVec::new(Opts::new(full_name(suffix), help), labels)?;
     r.register(Box::new(metric.clone()))?;
     Ok(metric)
 }
 
 fn gauge(r: &Registry, suffix: &str, help: &str) -> Result<IntGauge, prometheus::Error> {
-    let metric = IntGauge::new(name(suffix), help)?;
+    let metric = IntGauge::new(full_name(suffix), help)?;
     r.register(Box::new(metric.clone()))?;
     Ok(metric)
 }
 
 fn latency_opts(suffix: &str, help: &str) -> HistogramOpts {
-    HistogramOpts::new(name(suffix), help).buckets(LATENCY_BUCKETS.to_vec())
+    HistogramOpts::new(full_name(suffix), help).buckets(LATENCY_BUCKETS.to_vec())
 }
 
 fn histogram(r: &Registry, suffix: &str, help: &str) -> Result<Histogram, prometheus::Error> {
--- a/crates/galenapath-entry/src/run.rs
+++ b/crates/galenapath-entry/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting and running an entry instance.
+//! Starts and runs an entry instance.
 
 use crate::control::{self, ControlPlane, Wiring};
 use crate::data::{self, DataPlane};
@@ -13,15 +13,15 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Most events and commands that wait between two threads.
-const QUEUE: usize = 4_096;
+/// Capacity of the channels between the data thread and the control thread, in messages.
+const CHANNEL_CAPACITY: usize = 4_096;
 
-/// Runs an entry instance until it is told to stop and has drained.
+/// Runs an entry instance until it has received a stop signal and has drained.
 ///
 /// # Errors
 ///
-/// When an address, the token file, a thread or a runtime cannot be had. Nothing has been served
-/// then.
+/// If an address or the token file cannot be used, or a thread or runtime cannot be started. No
+/// request has been served in that case.
 pub fn run(settings: Settings) -> Result<(), Report<EntryError>> {
     abort_on_panic();
     let token = read_token(&settings.token_file)?;
@@ -30,43 +30,44 @@
     let operators = listen("operators", settings.listen.operators)?;
     let stops = signals::stop_requests()?;
     let plane =
-        galenapath_peers::start(peers).change_context(EntryError::Start("the peers' plane"))?;
-    let callers_address = local_address(&callers)?;
+        galenapath_peers::start(peers).change_context(EntryError::Start("peer communication"))?;
+    let caller_address = local_address(&callers)?;
     log::info!(
-        callers:% = callers_address,
+        callers:% = caller_address,
         peers:% = plane.address,
         operators:% = local_address(&operators)?;
         "listening"
     );
     let metrics = Metrics::new().change_context(EntryError::Start("the metrics"))?;
     let incarnation = Incarnation(rand::random());
-    let shared = Shared::new(settings, incarnation, callers_address, metrics);
-    let (events_tx, events) = flume::bounded(QUEUE);
-    let (commands, commands_rx) = flume::bounded(QUEUE);
+    let shared = Shared::new(settings, incarnation, caller_address, metrics);
+    let (events_tx, events) = flume::bounded(CHANNEL_CAPACITY);
+    let (commands, commands_rx) = flume::bounded(CHANNEL_CAPACITY);
     let wiring = Wiring {
         events,
         commands,
         calls: plane.calls,
         requests: plane.requests,
         stops,
-        peers: plane.address,
+        peer_address: plane.address,
         token,
     };
     start_data(Arc::clone(&shared), callers, events_tx, commands_rx)?;
     run_control(shared, operators, wiring)
 }
 
-/// Ends the process when any thread panics. An instance that lost one of its threads would go on
-/// answering probes while it serves nobody; callers and peers notice a dead one within seconds.
+/// Aborts the process when any thread panics. An instance that has lost a thread could still answer
+/// probes without serving any requests, whereas callers and peers detect a dead process within
+/// seconds.
 fn abort_on_panic() {
-    let default = std::panic::take_hook();
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
-        default(info);
+        default_hook(info);
         std::process::abort();
     }));
 }
 
-/// Starts the data thread. It ends with the process.
+/// Starts the data thread, which runs until the process ends.
 fn start_data(
     shared: Arc<Shared>,
     listener: TcpListener,
@@ -80,7 +81,7 @@
             Ok(())
         });
         if let Err(e) = result {
-            log::error!(error:? = e; "callers cannot be served");
+            log::error!(error:? = e; "cannot start serving callers");
             std::process::exit(1);
         }
     };
@@ -103,15 +104,16 @@
     })
 }
 
-/// Runs `work` on a runtime with the epoll driver, whatever else is linked.
+/// Runs a future on a runtime with the epoll driver, regardless of which other drivers are compiled
+/// in.
 fn block_on<T>(
-    work: impl Future<Output = Result<T, Report<EntryError>>>,
+    future: impl Future<Output = Result<T, Report<EntryError>>>,
 ) -> Result<T, Report<EntryError>> {
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new()
         .enable_timer()
         .build()
         .change_context(EntryError::Start("a runtime"))?;
-    runtime.block_on(work)
+    runtime.block_on(future)
 }
 
 fn to_monoio(listener: TcpListener) -> Result<monoio::net::TcpListener, Report<EntryError>> {
--- a/crates/galenapath-entry/src/shared.rs
+++ b/crates/galenapath-entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of an instance share.
+//! State and messages shared by the threads of an instance.
 
 use crate::clock::Clock;
 use crate::fleet::Fleet;
@@ -13,61 +13,62 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering};
 
-/// Usable entry instances at some moment.
+/// Snapshot of the known entry instances.
 #[derive(Clone, Debug, Default)]
 pub struct MemberView {
-    /// Counts up with each change.
+    /// Incremented with each change.
     pub version: u64,
-    /// Usable members, this instance included unless it is leaving.
+    /// Usable members, including this instance unless it is leaving.
     pub usable: Vec<Member>,
-    /// Every known member, also those that are leaving or gone.
+    /// All known members, including those that are leaving or gone.
     pub known: Vec<Member>,
 }
 
 impl MemberView {
-    /// The usable member with `incarnation`, or one that is leaving and still answers.
-    pub fn reachable(&self, incarnation: Incarnation) -> Option<&Member> {
+    /// Returns the member with this incarnation unless it is gone. Members that are leaving still
+    /// answer.
+    pub fn find_reachable(&self, incarnation: Incarnation) -> Option<&Member> {
         use galenapath_membership::MemberStatus::Gone;
         self.known.iter().find(|m| m.incarnation == incarnation && m.status != Gone)
     }
 }
 
-/// State that the data thread, the control thread and the metrics endpoint read. Views are
-/// replaced whole by the control thread, never changed in place.
+/// State that the data thread, the control thread and the metrics endpoint read. The control thread
+/// replaces `config`, `fleet` and `members` as a whole and never changes them in place.
 pub struct Shared {
-    /// Settings of the instance.
+    /// Settings of this instance.
     pub settings: Settings,
-    /// This run of it.
+    /// Incarnation of this instance.
     pub incarnation: Incarnation,
-    /// Address that callers reach.
-    pub callers: SocketAddr,
-    /// Its clock.
+    /// Address on which callers reach this instance.
+    pub caller_address: SocketAddr,
+    /// Clock of this instance.
     pub clock: Clock,
-    /// Its metrics.
+    /// Metrics of this instance.
     pub metrics: Metrics,
-    /// Configuration in force.
+    /// Configuration that is in force.
     pub config: ArcSwap<Config>,
-    /// Backend servers.
+    /// Known backend servers.
     pub fleet: ArcSwap<Fleet>,
-    /// Entry instances.
+    /// Known entry instances.
     pub members: ArcSwap<MemberView>,
     ready: AtomicBool,
-    /// How far a planned stop has come; only ever goes up.
+    /// Current `Stage` of a planned stop; never decreases.
     stage: AtomicU8,
 }
 
 impl Shared {
-    /// The state at the start: nothing known yet.
+    /// Creates the initial state, without a configuration, backend servers or members.
     pub fn new(
         settings: Settings,
         incarnation: Incarnation,
-        callers: SocketAddr,
+        caller_address: SocketAddr,
         metrics: Metrics,
     ) -> Arc<Self> {
         Arc::new(Self {
             settings,
             incarnation,
-            callers,
+            caller_address,
             clock: Clock::start(),
             metrics,
             config: ArcSwap::default(),
@@ -78,77 +79,79 @@
         })
     }
 
-    /// Name of the instance.
+    /// Returns the name of this instance.
     pub fn name(&self) -> &InstanceId {
         &self.settings.instance.name
     }
 
-    /// Whether the instance knows the configuration and the backend servers.
+    /// Returns whether this instance knows the configuration and the backend servers, and is not
+    /// leaving.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire) && !self.is_leaving()
     }
 
-    /// Notes that the instance knows enough to serve.
+    /// Marks this instance as knowing the configuration and the backend servers.
     pub fn set_ready(&self) {
         self.ready.store(true, Ordering::Release);
     }
 
-    /// Whether a planned stop has begun: connections are closed after their next answer.
+    /// Returns whether a planned stop has begun. From then on, each connection is closed after its
+    /// next answer.
     pub fn is_leaving(&self) -> bool {
         self.stage.load(Ordering::Acquire) >= Stage::Leaving as u8
     }
 
-    /// Whether a planned stop has come to where no new filings are taken.
+    /// Returns whether a planned stop has reached the stage in which new filings are rejected.
     pub fn is_draining(&self) -> bool {
         self.stage.load(Ordering::Acquire) >= Stage::Draining as u8
     }
 
-    /// Notes how far a planned stop has come.
+    /// Advances the stage of a planned stop. An earlier stage than the current one has no effect.
     pub fn set_stage(&self, stage: Stage) {
         self.stage.fetch_max(stage as u8, Ordering::AcqRel);
     }
 }
 
-/// How far a planned stop has come.
+/// Stage of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// No stop has begun.
     Serving,
-    /// The instance has left the address answers and still takes requests, since callers keep the
-    /// answers that they have for a while.
+    /// Address answers no longer contain the instance. It still accepts requests, because callers
+    /// keep address answers that they received earlier.
     Leaving,
-    /// Requests in progress end; no new filings are taken.
+    /// The instance waits for requests in progress to end, and rejects new filings.
     Draining,
 }
 
-/// What the data thread tells or asks the control thread.
+/// An event that the data thread sends to the control thread.
 pub enum ControlEvent {
-    /// A backend server said that it is leaving.
+    /// A backend server reported that it is leaving.
     Leaving(LeavingMark),
     /// A backend server seems to have crashed.
-    Crash(CrashNote),
-    /// A caller's own key has to be claimed in the store.
+    Crash(CrashReport),
+    /// A caller-chosen key must be claimed in the store.
     Claim(ClaimRequest),
 }
 
-/// A crash that the data thread saw.
-pub struct CrashNote {
-    /// What is known of suspects after it.
-    pub facts: Vec<SuspectWire>,
-    /// Gets a message when every peer that answers has heard.
-    pub told: flume::Sender<()>,
+/// A crash of a backend server that the data thread detected.
+pub struct CrashReport {
+    /// Crash suspects known to the data thread, including those of this crash.
+    pub suspects: Vec<SuspectWire>,
+    /// Receives a message once all reachable peers have acknowledged the crash.
+    pub acknowledged: flume::Sender<()>,
 }
 
-/// A claim of a caller's own key.
+/// A request to claim a caller-chosen key in the store.
 pub struct ClaimRequest {
     /// Key in the store.
-    pub path: String,
-    /// Number of the claim within this incarnation.
+    pub key: String,
+    /// Identifier of the claim, unique within this incarnation.
     pub claim: ClaimId,
-    /// Least time for which the claim has to stand.
+    /// Minimum time for which the claim must remain in the store.
     pub lease: Micros,
-    /// Longest time for which one lease may be used for new claims.
-    pub lease_use: Micros,
-    /// Where the store's word goes.
+    /// Maximum time for which one lease may be used for new claims.
+    pub lease_max_use: Micros,
+    /// Receives the result of the claim.
     pub reply: flume::Sender<ClaimResult>,
 }
