--- a/crates/galenapath-entry/src/control/accept.rs
+++ b/crates/galenapath-entry/src/control/accept.rs
@@ -1,6 +1,6 @@
-//! Accepting an operator's change: carries out what `galenapath_config::Acceptance` asks for.
+//! Accepts operators' changes by executing the actions of `galenapath_config::Acceptance`.
 
-use super::configuration::{read_snapshot, settle};
+use super::configuration::{handle_applied, read_snapshot};
 use super::plane::ControlPlane;
 use crate::clock::unix_millis;
 use bytes::Bytes;
@@ -12,39 +12,40 @@
 use galenapath_protocol::Verdict;
 use std::time::{Duration, Instant};
 
-/// Longest time for one change. Two calls take milliseconds; a store that takes this long is
-/// as good as down, and the operator is told rather than kept waiting.
+/// Maximum time for one change. Its two store calls usually take milliseconds. A store that takes
+/// longer than this is treated as unavailable, so that the operator receives an answer.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Accepts `req` or says why not. The configuration in force includes an accepted change.
+/// Accepts the change, or returns the reason why not. An accepted change is in force when this
+/// returns.
 pub(super) async fn accept(plane: &ControlPlane, req: ChangeRequest) -> Outcome {
     let known = plane.replica.borrow().clone();
     let mut acceptance = Acceptance::new(req, known, unix_millis(), Limits::DEFAULT);
     let deadline = Instant::now() + CHANGE_TIMEOUT;
     let mut action = Action::ReadHead;
     loop {
-        let left = deadline.saturating_duration_since(Instant::now());
+        let time_left = deadline.saturating_duration_since(Instant::now());
         if let Action::Answer(outcome) = action {
             if let Outcome::Accepted { chain, .. } = &outcome {
                 let head = chain.head().clone();
                 let applied = plane.replica.borrow_mut().apply_from(chain.config(), head);
-                settle(plane, &applied);
+                handle_applied(plane, &applied);
             }
             return outcome;
         }
-        let event = monoio::time::timeout(left, carry_out(plane, action)).await;
+        let event = monoio::time::timeout(time_left, execute(plane, action)).await;
         action = acceptance.step(event.unwrap_or(Event::GiveUp));
     }
 }
 
-async fn carry_out(plane: &ControlPlane, action: Action) -> Event {
+async fn execute(plane: &ControlPlane, action: Action) -> Event {
     match action {
         Action::ReadHead => read_head(plane).await,
         Action::ReadSnapshot(version) => match read_snapshot(plane, version).await {
             Some(config) => Event::Snapshot(config),
             None => Event::Failed(Verdict::NotRun),
         },
-        Action::WriteCut { snapshot, page } => write_cut(plane, &snapshot, &page).await,
+        Action::WriteCut { snapshot, page } => write_compaction(plane, &snapshot, &page).await,
         Action::Swap { expected, head } => swap(plane, expected, &head).await,
         Action::Answer(_) => Event::GiveUp,
     }
@@ -60,18 +61,18 @@
     match decode_head(&entry.value) {
         Ok(head) => Event::Head { index: HeadIndex(entry.index.0), head },
         Err(e) => {
-            log::error!(error:% = e; "the configuration in the store cannot be read");
+            log::error!(error:% = e; "cannot decode the configuration in the store");
             Event::Failed(Verdict::NotRun)
         }
     }
 }
 
-/// Writes snapshot and page. Where they are there already they are the same: both follow from the
-/// chain alone.
-async fn write_cut(plane: &ControlPlane, snapshot: &Config, page: &AuditPage) -> Event {
-    let snapshot_at = snapshot_key(snapshot.version());
-    let page_at = page_key(page.last_version());
-    let values = [(snapshot_at, encode_snapshot(snapshot)), (page_at, encode_page(page))];
+/// Writes the snapshot and the audit page of a compaction, unless they exist already. Existing ones
+/// have the same content, because both depend only on the chain.
+async fn write_compaction(plane: &ControlPlane, snapshot: &Config, page: &AuditPage) -> Event {
+    let snapshot_key = snapshot_key(snapshot.version());
+    let page_key = page_key(page.last_version());
+    let values = [(snapshot_key, encode_snapshot(snapshot)), (page_key, encode_page(page))];
     for (key, value) in values {
         let Ok(value) = value else { return Event::Failed(Verdict::NotRun) };
         if let Err(e) = put(plane, &key, Expected::Absent, value).await {
--- a/crates/galenapath-entry/src/control/backends.rs
+++ b/crates/galenapath-entry/src/control/backends.rs
@@ -1,5 +1,6 @@
-//! The list of backend servers from peers: changes for an instance that does not watch the
-//! platform's list, all of it for one that starts while the platform is down.
+//! Exchange of the list of backend servers between peers. An instance that does not watch the
+//! platform's list receives its changes this way; an instance that starts while the platform is
+//! unavailable receives the whole list.
 
 use super::plane::ControlPlane;
 use galenapath_membership::ListDelta;
@@ -12,25 +13,29 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Value of the state of a server that takes requests.
+/// State of a server that accepts requests.
 const STATE_LIVE: &str = "live";
 
-/// Takes over what the peer at `from`, which is ahead, has. One peer is asked at a time.
-pub(super) async fn pull(plane: Rc<ControlPlane>, from: SocketAddr) {
-    if plane.is_pulling.replace(true) {
+/// Fetches and applies the changes that the peer at `from` has beyond this instance's list. Does
+/// nothing if changes are already being fetched from a peer.
+pub(super) async fn fetch(plane: Rc<ControlPlane>, from: SocketAddr) {
+    if plane.is_fetching_backends.replace(true) {
         return;
     }
-    let delta = ask(&plane, from).await;
-    plane.is_pulling.set(false);
+    let delta = request_changes(&plane, from).await;
+    plane.is_fetching_backends.set(false);
     let Some(delta) = delta else { return };
     let (to, changes) = (delta.to, delta.put.len() + delta.removed.len());
     if plane.backends.borrow_mut().apply(delta) {
-        log::debug!(peer:% = from, position = to, changes; "backend servers learned from a peer");
+        log::debug!(peer:% = from, position = to, changes; "backend servers updated from a peer");
         plane.publish_fleet();
     }
 }
 
-async fn ask(plane: &ControlPlane, to: SocketAddr) -> Option<ListDelta<ListedInstance>> {
+async fn request_changes(
+    plane: &ControlPlane,
+    to: SocketAddr,
+) -> Option<ListDelta<ListedInstance>> {
     let after = plane.backends.borrow().position();
     let (reply, answer) = flume::bounded(1);
     plane.wiring.calls.send_async(PeerCall::Backends { to, after, reply }).await.ok()?;
@@ -40,8 +45,8 @@
     Some(ListDelta { from: wire.from, to: wire.to, put, removed: wire.removed })
 }
 
-/// What a peer whose list is at position `after` lacks.
-pub(super) fn changes(plane: &ControlPlane, after: u64) -> BackendsWire {
+/// Returns the changes that a peer whose list is at position `after` lacks.
+pub(super) fn changes_after(plane: &ControlPlane, after: u64) -> BackendsWire {
     match plane.backends.borrow().delta_after(after) {
         Some(delta) => BackendsWire {
             from: delta.from,
--- a/crates/galenapath-entry/src/control/claims.rs
+++ b/crates/galenapath-entry/src/control/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of callers' own keys in the store.
+//! Claims of caller-chosen keys in the store.
 
 use super::plane::ControlPlane;
 use crate::shared::ClaimRequest;
@@ -9,17 +9,18 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The lease that new claims are written with, and until when it is used for them. It is taken
-/// for longer than a claim has to stand, so that the last claim written with it stands as long.
+/// The lease with which new claims are written, and the time until which it is used for them. A
+/// lease lasts for the time that a claim must remain plus the time that the lease is used for new
+/// claims, so that the last claim written with it also remains long enough.
 #[derive(Default)]
 pub(super) struct ClaimLease {
     current: RefCell<Option<(Lease, Micros)>>,
 }
 
-/// Claims a key and replies with the store's word.
+/// Claims a key in the store and replies with the result.
 pub(super) async fn serve(plane: Rc<ControlPlane>, lease: Rc<ClaimLease>, request: ClaimRequest) {
     let result = claim(&plane, &lease, &request).await;
-    // The request that asked may have ended.
+    // Fails only if the request that needed the claim has ended.
     let _ = request.reply.try_send(result);
 }
 
@@ -27,7 +28,7 @@
     let Ok(lease) = current_lease(plane, lease, request).await else {
         return ClaimResult::StoreDown;
     };
-    let value = Bytes::from(claim_text(plane.shared.incarnation, request.claim));
+    let value = Bytes::from(encode_claim(plane.shared.incarnation, request.claim));
     let result = plane.platform.claim(&request.key, &lease, value).await;
     plane.count_call("claim", &result);
     match result {
@@ -38,8 +39,9 @@
     }
 }
 
-/// Reads who holds the key. A lease can hold a key for several claims of this incarnation, so even
-/// a claim that was granted is read back.
+/// Reads back which claim holds the key. A lease can hold a key for several claims of this
+/// incarnation, so granted claims are read back too. Returns `otherwise` if the key cannot be read
+/// or holds no valid claim.
 async fn read_back(
     plane: &ControlPlane,
     request: &ClaimRequest,
@@ -47,8 +49,9 @@
 ) -> ClaimResult {
     let result = plane.platform.read(&request.key).await;
     plane.count_call("read", &result);
-    let held = result.ok().and_then(|read| read.entry).and_then(|entry| parse(&entry.value));
-    match held {
+    let holder =
+        result.ok().and_then(|read| read.entry).and_then(|entry| decode_claim(&entry.value));
+    match holder {
         Some((incarnation, claim))
             if incarnation == plane.shared.incarnation && claim == request.claim =>
         {
@@ -77,11 +80,11 @@
     Ok(new)
 }
 
-fn claim_text(incarnation: Incarnation, claim: ClaimId) -> String {
+fn encode_claim(incarnation: Incarnation, claim: ClaimId) -> String {
     format!("{incarnation} {}", claim.0)
 }
 
-fn parse(value: &[u8]) -> Option<(Incarnation, ClaimId)> {
+fn decode_claim(value: &[u8]) -> Option<(Incarnation, ClaimId)> {
     let text = std::str::from_utf8(value).ok()?;
     let (incarnation, claim) = text.split_once(' ')?;
     Some((incarnation.parse().ok()?, ClaimId(claim.parse().ok()?)))
--- a/crates/galenapath-entry/src/control/configuration.rs
+++ b/crates/galenapath-entry/src/control/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration: following the store, and peers that are ahead.
+//! Keeps the configuration up to date, from the store and from peers that have a newer version.
 
 use super::plane::ControlPlane;
 use galenapath_config::{
@@ -13,90 +13,96 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Instances that watch the head. One would do; three, so that two may be paused or cut off from
-/// the store. With every instance watching, the calls would grow with the fleet.
-const WATCHERS: usize = 3;
+/// Number of instances that watch the head in the store. One would suffice; with three, two may be
+/// paused or cut off from the store. If every instance watched, the number of calls would grow with
+/// the number of instances.
+const WATCHER_COUNT: usize = 3;
 
-/// Seed of the order in which instances watch.
-const WATCH_SEED: u64 = 0x636f_6e66_6967;
+/// Hash seed of the order by which watchers are selected.
+const WATCHER_SEED: u64 = 0x636f_6e66_6967;
 
-/// Longest wait of a watch. A waiting watch counts as a call, so longer waits cost less.
-const WATCH_WAIT: Duration = Duration::from_secs(30);
+/// Maximum time that the store may hold a watch call open. Each watch call counts as one read
+/// however long it waits, so a longer wait causes fewer reads.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two looks at whether it is this instance's turn to watch.
-const REVIEW_PAUSE: Duration = Duration::from_secs(1);
+/// Interval at which an instance that is not a watcher checks whether it has become one.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest time that an instance which does not watch goes without a read of its own, in case that
-/// every watcher is cut off from the store and from its peers.
+/// Time between two reads of an instance that is not a watcher. The reads are needed in case all
+/// watchers are cut off from the store and from their peers.
 const READ_PERIOD: Micros = Micros::from_secs(300);
 
-/// Pause after a failed call, so that a store that is down is not hammered.
-const FAILURE_PAUSE: Duration = Duration::from_millis(500);
+/// Delay after a failed call, to limit the load on a store that is unavailable.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Follows the head of the configuration in the store: reads it at the start, then watches it where
-/// this instance is one of the few that do. The others learn from their peers.
+/// Follows the head of the configuration in the store: reads it at the start, then watches it if
+/// this instance is a watcher. Other instances learn changes from their peers.
 pub(super) async fn follow(plane: Rc<ControlPlane>) {
     let mut after = StoreIndex(0);
     let mut read_at: Option<Micros> = None;
     loop {
-        let watches = is_watcher(&plane);
-        plane.store_use.watching.set(watches);
-        let due = read_at.is_none_or(|at| plane.now() - at >= READ_PERIOD);
-        let seen = match (watches, due) {
-            (true, _) => look(&plane, after, WATCH_WAIT).await,
-            (false, true) => look(&plane, StoreIndex(0), Duration::ZERO).await,
+        let is_watcher = is_watcher(&plane);
+        plane.store_usage.is_watching.set(is_watcher);
+        let is_due = read_at.is_none_or(|at| plane.now() - at >= READ_PERIOD);
+        let position = match (is_watcher, is_due) {
+            (true, _) => watch_head(&plane, after, WATCH_TIMEOUT).await,
+            (false, true) => watch_head(&plane, StoreIndex(0), Duration::ZERO).await,
             (false, false) => {
-                monoio::time::sleep(REVIEW_PAUSE).await;
+                monoio::time::sleep(ROLE_CHECK_INTERVAL).await;
                 continue;
             }
         };
-        match seen {
+        match position {
             Some(position) => {
                 after = position;
                 read_at = Some(plane.now());
             }
-            None => monoio::time::sleep(FAILURE_PAUSE).await,
+            None => monoio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-/// Whether this instance is among the first of the usable ones in a random order that all share.
+/// Returns whether this instance is a watcher. The watchers are the first `WATCHER_COUNT` usable
+/// instances in a pseudorandom order that is the same on all instances.
 pub(super) fn is_watcher(plane: &ControlPlane) -> bool {
-    let rank = |incarnation: Incarnation| hash64(WATCH_SEED, &incarnation.0.to_be_bytes());
+    let rank = |incarnation: Incarnation| hash64(WATCHER_SEED, &incarnation.0.to_be_bytes());
     let own = rank(plane.shared.incarnation);
     let members = plane.members.borrow();
-    members.usable().filter(|member| rank(member.incarnation) < own).count() < WATCHERS
+    members.usable().filter(|member| rank(member.incarnation) < own).count() < WATCHER_COUNT
 }
 
-/// Watches the head once; the position to watch from next, `None` where the store did not answer.
-async fn look(plane: &ControlPlane, after: StoreIndex, wait: Duration) -> Option<StoreIndex> {
+/// Makes one watch call for the head. Returns the position from which to watch next, or `None` if
+/// the store did not answer.
+async fn watch_head(plane: &ControlPlane, after: StoreIndex, wait: Duration) -> Option<StoreIndex> {
     let result = plane.platform.watch(HEAD_KEY, after, wait).await;
     plane.count_call("watch", &result);
     let read = result.ok()?;
     let Some(entry) = read.entry else { return Some(read.position) };
     match decode_head(&entry.value) {
-        Ok(head) => take_head(plane, head).await,
+        Ok(head) => apply_head(plane, head).await,
         Err(e) => {
-            log::error!(error:% = e; "the configuration in the store cannot be read");
+            log::error!(error:% = e; "cannot decode the configuration in the store");
             plane.shared.metrics.count_fault("bad_configuration");
         }
     }
     Some(read.position)
 }
 
-/// Takes over a head from the store, with its snapshot where that is needed.
-async fn take_head(plane: &ControlPlane, head: Head) {
+/// Applies a head from the store. Reads its snapshot if the records in the head do not continue the
+/// version that this instance has.
+async fn apply_head(plane: &ControlPlane, head: Head) {
     let applied = plane.replica.borrow_mut().apply(head.clone());
     match applied {
         Applied::Gap { snapshot } => {
             let Some(config) = read_snapshot(plane, snapshot).await else { return };
             let applied = plane.replica.borrow_mut().apply_from(&config, head);
-            settle(plane, &applied);
+            handle_applied(plane, &applied);
         }
-        applied => settle(plane, &applied),
+        applied => handle_applied(plane, &applied),
     }
 }
 
+/// Reads a snapshot from the store; `None` if it cannot be read or decoded.
 pub(super) async fn read_snapshot(plane: &ControlPlane, version: Version) -> Option<Arc<Config>> {
     let result = plane.platform.read(&snapshot_key(version)).await;
     plane.count_call("read", &result);
@@ -104,26 +110,26 @@
     match decode_snapshot(&entry.value) {
         Ok(config) => Some(Arc::new(config)),
         Err(e) => {
-            log::error!(version = version.0, error:% = e; "a snapshot cannot be read");
+            log::error!(version = version.0, error:% = e; "cannot decode a configuration snapshot");
             None
         }
     }
 }
 
-/// Publishes what has become of the replica.
-pub(super) fn settle(plane: &ControlPlane, applied: &Applied) {
+/// Publishes the configuration if the replica advanced, and reports a diverged configuration.
+pub(super) fn handle_applied(plane: &ControlPlane, applied: &Applied) {
     match applied {
         Applied::Advanced { .. } => plane.publish_config(),
         Applied::Stale | Applied::Gap { .. } => {}
         Applied::Diverged => {
-            log::error!("a configuration was offered that contradicts the one in force");
+            log::error!("a received configuration contradicts the one in force");
             plane.shared.metrics.count_fault("configuration_diverged");
         }
     }
 }
 
-/// Takes over what the peer at `from`, which is ahead, has beyond this instance's version.
-pub(super) async fn pull(plane: Rc<ControlPlane>, from: SocketAddr) {
+/// Fetches and applies the changes that the peer at `from` has beyond this instance's version.
+pub(super) async fn fetch(plane: Rc<ControlPlane>, from: SocketAddr) {
     let (reply, answer) = flume::bounded(1);
     let after = plane.replica.borrow().version().0;
     let call = PeerCall::Config { to: from, after, reply };
@@ -131,15 +137,15 @@
         return;
     }
     let Ok(Ok(wire)) = answer.recv_async().await else { return };
-    let Some(applied) = take_document(&plane, &wire) else {
+    let Some(applied) = apply_document(&plane, &wire) else {
         plane.shared.metrics.count_fault("bad_peer_configuration");
         return;
     };
-    settle(&plane, &applied);
+    handle_applied(&plane, &applied);
 }
 
-/// Takes over a peer's document; `None` where it cannot be read.
-fn take_document(plane: &ControlPlane, wire: &ConfigWire) -> Option<Applied> {
+/// Applies a configuration document from a peer; `None` if it cannot be decoded.
+fn apply_document(plane: &ControlPlane, wire: &ConfigWire) -> Option<Applied> {
     if let Some(records) = &wire.records {
         let page = decode_page(records.as_bytes()).ok()?;
         return Some(plane.replica.borrow_mut().extend(&page.records, Limits::DEFAULT));
@@ -149,9 +155,10 @@
     Some(plane.replica.borrow_mut().apply_from(&Arc::new(config), head))
 }
 
-/// The configuration for a peer at version `after`: the records that it lacks where the tail has
-/// them all, so that a change costs its own size and not the configuration's.
-pub(super) fn document(plane: &ControlPlane, after: Version) -> ConfigWire {
+/// Returns the configuration document for a peer at version `after`. It contains only the missing
+/// records if the tail has all of them, so that the cost of sending a change depends on the size of
+/// the change and not on that of the whole configuration.
+pub(super) fn document_after(plane: &ControlPlane, after: Version) -> ConfigWire {
     let replica = plane.replica.borrow();
     let head = replica.chain().head();
     let text = |bytes: Result<Vec<u8>, serde_json::Error>| String::from_utf8(bytes.ok()?).ok();
--- a/crates/galenapath-entry/src/control/events.rs
+++ b/crates/galenapath-entry/src/control/events.rs
@@ -1,4 +1,4 @@
-//! What the data thread tells and asks.
+//! Handles events from the data thread.
 
 use super::claims::{self, ClaimLease};
 use super::gossip;
@@ -6,16 +6,19 @@
 use crate::shared::ControlEvent;
 use std::rc::Rc;
 
-/// Carries out events of the data thread; what takes time does not hold up the next.
+/// Handles events from the data thread. Events that need calls to peers or to the store run as
+/// separate tasks, so that they do not delay the next event.
 pub(super) async fn serve(plane: Rc<ControlPlane>) {
     let lease = Rc::new(ClaimLease::default());
     while let Ok(event) = plane.wiring.events.recv_async().await {
-        let held = Rc::clone(&plane);
+        let task_plane = Rc::clone(&plane);
         match event {
-            ControlEvent::Leaving(mark) => gossip::note_leaving(&plane, &mark),
-            ControlEvent::Crash(note) => drop(monoio::spawn(gossip::note_crash(held, note))),
+            ControlEvent::Leaving(mark) => gossip::record_leaving(&plane, &mark),
+            ControlEvent::Crash(report) => {
+                drop(monoio::spawn(gossip::record_crash(task_plane, report)));
+            }
             ControlEvent::Claim(request) => {
-                drop(monoio::spawn(claims::serve(held, Rc::clone(&lease), request)));
+                drop(monoio::spawn(claims::serve(task_plane, Rc::clone(&lease), request)));
             }
         }
     }
--- a/crates/galenapath-entry/src/control/gossip.rs
+++ b/crates/galenapath-entry/src/control/gossip.rs
@@ -1,4 +1,4 @@
-//! Talking to peers: probes, news, and what peers ask.
+//! Communication with peers: probes, exchange of updates, and answers to peers' requests.
 
 use super::plane::ControlPlane;
 use super::{backends, configuration, stop};
@@ -16,17 +16,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest sleep between two looks at what is due.
+/// Interval at which the task checks whether a probe is due.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Marks of leaving backend servers are told for this long; many times longer than a round of
-/// gossip through every instance.
-const TELL_LEAVING: Micros = Micros::from_secs(30);
+/// Time for which the mark of a leaving backend server is sent to peers. It is many times longer
+/// than gossip needs to reach all instances.
+const LEAVING_GOSSIP_PERIOD: Micros = Micros::from_secs(30);
 
-/// Time between two calls to the seeds while no other instance is known.
-const SEED_PAUSE: Duration = Duration::from_millis(500);
+/// Time between two rounds of calls to the seeds while no other instance is known.
+const SEED_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Probes one peer after the other.
+/// Probes the peers in turn, when each probe is due.
 pub(super) async fn probe_peers(plane: Rc<ControlPlane>) {
     loop {
         let due = plane.members.borrow_mut().tick(plane.now());
@@ -38,14 +38,14 @@
     }
 }
 
-/// Asks the seeds of the settings for news until some other instance is known.
-pub(super) async fn ask_seeds(plane: Rc<ControlPlane>) {
+/// Exchanges updates with the seeds from the settings until another instance is known.
+pub(super) async fn contact_seeds(plane: Rc<ControlPlane>) {
     let seeds = plane.shared.settings.listen.seeds.clone();
     while !seeds.is_empty() && plane.members.borrow().usable().count() < 2 {
         for seed in &seeds {
             let _ = exchange(&plane, *seed, plane.shared.incarnation).await;
         }
-        monoio::time::sleep(SEED_PAUSE).await;
+        monoio::time::sleep(SEED_INTERVAL).await;
     }
 }
 
@@ -64,29 +64,29 @@
     plane.publish_members();
 }
 
-/// Exchanges news with the peer at `to`; returns the incarnation that answered.
+/// Exchanges updates with the peer at `to`. Returns the incarnation that answered.
 pub(super) async fn exchange(
     plane: &Rc<ControlPlane>,
     to: SocketAddr,
     incarnation: Incarnation,
 ) -> Result<Option<Incarnation>, PeerError> {
-    let news = news(plane, incarnation);
+    let update = outgoing_update(plane, incarnation);
     let (reply, answer) = flume::bounded(1);
-    let call = PeerCall::Exchange { to, news, reply };
+    let call = PeerCall::Exchange { to, news: update, reply };
     plane.shared.metrics.peer_messages.with_label_values(&["out"]).inc();
     plane.wiring.calls.send_async(call).await.map_err(|_| PeerError::Stopped)?;
-    let news = answer.recv_async().await.map_err(|_| PeerError::Stopped)??;
-    let answered = news.members.first().map(|member| Incarnation(member.incarnation));
-    hear(plane, to, &news);
+    let update = answer.recv_async().await.map_err(|_| PeerError::Stopped)??;
+    let answered = update.members.first().map(|member| Incarnation(member.incarnation));
+    apply_update(plane, to, &update);
     Ok(answered)
 }
 
-/// News for the peer with `incarnation`.
-fn news(plane: &ControlPlane, incarnation: Incarnation) -> ExchangeWire {
+/// Returns the update to send to the peer with this incarnation.
+fn outgoing_update(plane: &ControlPlane, incarnation: Incarnation) -> ExchangeWire {
     let members = plane.members.borrow_mut().updates_for(incarnation);
-    let leaving = plane.marks.borrow().recent(plane.now(), TELL_LEAVING);
-    let facts = plane.suspects.borrow().export(plane.now());
-    let (crashes, cleared) = crashes_and_cleared(&facts);
+    let leaving = plane.marks.borrow().recent(plane.now(), LEAVING_GOSSIP_PERIOD);
+    let suspects = plane.suspects.borrow().export(plane.now());
+    let (crashes, cleared) = crashes_and_cleared(&suspects);
     ExchangeWire {
         members: members.iter().map(MemberWire::from).collect(),
         leaving: leaving.iter().map(LeavingWire::from).collect(),
@@ -97,34 +97,35 @@
     }
 }
 
-/// Takes in news from the peer at `from`.
-fn hear(plane: &Rc<ControlPlane>, from: SocketAddr, news: &ExchangeWire) {
+/// Applies an update from the peer at `from`. If the peer has newer backend servers or a newer
+/// configuration, starts to fetch them.
+fn apply_update(plane: &Rc<ControlPlane>, from: SocketAddr, update: &ExchangeWire) {
     plane.shared.metrics.peer_messages.with_label_values(&["in"]).inc();
     let members: Vec<Member> =
-        news.members.iter().filter_map(|wire| Member::try_from(wire).ok()).collect();
+        update.members.iter().filter_map(|wire| Member::try_from(wire).ok()).collect();
     plane.members.borrow_mut().merge(plane.now(), &members);
     plane.publish_members();
-    for wire in &news.leaving {
-        note_leaving(plane, &LeavingMark::from(wire));
+    for wire in &update.leaving {
+        record_leaving(plane, &LeavingMark::from(wire));
     }
-    let facts = suspects(&news.crashes, &news.cleared);
-    if !facts.is_empty() {
-        plane.suspects.borrow_mut().merge(plane.now(), &facts);
-        let _ = plane.wiring.commands.try_send(DataCommand::MergeSuspects(facts));
+    let suspects = suspects(&update.crashes, &update.cleared);
+    if !suspects.is_empty() {
+        plane.suspects.borrow_mut().merge(plane.now(), &suspects);
+        let _ = plane.wiring.commands.try_send(DataCommand::MergeSuspects(suspects));
     }
-    if let Some(sender) = news.members.first() {
-        plane.note_peer_version(Incarnation(sender.incarnation), Version(news.config_version));
+    if let Some(sender) = update.members.first() {
+        plane.record_peer_version(Incarnation(sender.incarnation), Version(update.config_version));
     }
-    if news.list_position > plane.backends.borrow().position() {
-        monoio::spawn(backends::pull(Rc::clone(plane), from));
+    if update.list_position > plane.backends.borrow().position() {
+        monoio::spawn(backends::fetch(Rc::clone(plane), from));
     }
-    if news.config_version > plane.replica.borrow().version().0 {
-        monoio::spawn(configuration::pull(Rc::clone(plane), from));
+    if update.config_version > plane.replica.borrow().version().0 {
+        monoio::spawn(configuration::fetch(Rc::clone(plane), from));
     }
 }
 
-/// Takes in that a backend server is leaving.
-pub(super) fn note_leaving(plane: &ControlPlane, mark: &LeavingMark) {
+/// Records that a backend server is leaving.
+pub(super) fn record_leaving(plane: &ControlPlane, mark: &LeavingMark) {
     let is_new = plane.marks.borrow_mut().mark(plane.now(), mark);
     if is_new {
         log::info!(backend:% = mark.backend; "backend server is leaving");
@@ -132,28 +133,31 @@
     }
 }
 
-/// Takes in crashes that the data thread saw and tells every peer at once: a request that crashes
-/// backend servers may be on its way to other instances already. Replies when all have heard.
-pub(super) async fn note_crash(plane: Rc<ControlPlane>, note: CrashReport) {
-    plane.suspects.borrow_mut().merge(plane.now(), &note.suspects);
-    tell_all(&plane).await;
-    // The request that asked may have ended.
-    let _ = note.acknowledged.try_send(());
+/// Records crash suspects reported by the data thread and notifies all usable peers immediately,
+/// because a request that crashes backend servers may already be on its way to other instances.
+/// Acknowledges the report when every peer has answered or failed to.
+pub(super) async fn record_crash(plane: Rc<ControlPlane>, report: CrashReport) {
+    plane.suspects.borrow_mut().merge(plane.now(), &report.suspects);
+    notify_all(&plane).await;
+    // Fails only if the request that caused the report has stopped waiting.
+    let _ = report.acknowledged.try_send(());
 }
 
-/// Answers what peers ask.
+/// Answers requests from peers.
 pub(super) async fn answer_peers(plane: Rc<ControlPlane>) {
     while let Ok(request) = plane.wiring.requests.recv_async().await {
         match request {
-            PeerRequest::Exchange { news: heard, reply } => answer_exchange(&plane, &heard, &reply),
+            PeerRequest::Exchange { news: update, reply } => {
+                answer_exchange(&plane, &update, &reply);
+            }
             PeerRequest::Config { after, reply } => {
-                let _ = reply.try_send(configuration::document(&plane, Version(after)));
+                let _ = reply.try_send(configuration::document_after(&plane, Version(after)));
             }
             PeerRequest::Backends { after, reply } => {
-                let _ = reply.try_send(backends::changes(&plane, after));
+                let _ = reply.try_send(backends::changes_after(&plane, after));
             }
             PeerRequest::HandOver { outcomes, reply } => {
-                let _ = reply.try_send(stop::adopt(&plane, &outcomes));
+                let _ = reply.try_send(stop::apply_hand_over(&plane, &outcomes));
             }
         }
     }
@@ -161,21 +165,21 @@
 
 fn answer_exchange(
     plane: &Rc<ControlPlane>,
-    heard: &ExchangeWire,
+    update: &ExchangeWire,
     reply: &flume::Sender<ExchangeWire>,
 ) {
-    let Some(Ok(sender)) = heard.members.first().map(Member::try_from) else { return };
-    hear(plane, sender.peer_address, heard);
-    let _ = reply.try_send(news(plane, sender.incarnation));
+    let Some(Ok(sender)) = update.members.first().map(Member::try_from) else { return };
+    apply_update(plane, sender.peer_address, update);
+    let _ = reply.try_send(outgoing_update(plane, sender.incarnation));
 }
 
-/// Tells every usable peer the news now, without waiting for their turns. Ends when each has
-/// answered or failed to.
-pub(super) async fn tell_all(plane: &Rc<ControlPlane>) {
+/// Sends the current update to all usable peers immediately instead of at their next probe. Returns
+/// when each has answered or failed to.
+pub(super) async fn notify_all(plane: &Rc<ControlPlane>) {
     let own = plane.shared.incarnation;
     let peers: Vec<Member> =
         plane.members.borrow().usable().filter(|m| m.incarnation != own).cloned().collect();
     let calls = peers.iter().map(|peer| exchange(plane, peer.peer_address, peer.incarnation));
-    // A peer that does not answer hears the news by gossip.
+    // A peer that does not answer receives the update later, by gossip.
     let _ = join_all(calls).await;
 }
--- a/crates/galenapath-entry/src/control/lists.rs
+++ b/crates/galenapath-entry/src/control/lists.rs
@@ -1,4 +1,5 @@
-//! The platform's lists of entry instances and backend servers.
+//! Registers this instance on the platform's list of entry instances, and follows that list and the
+//! list of backend servers.
 
 use super::configuration::is_watcher;
 use super::plane::ControlPlane;
@@ -20,29 +21,32 @@
 /// Metadata key of an entry instance's incarnation.
 const INCARNATION_META: &str = "incarnation";
 
-/// Metadata key of an entry instance's address for peers.
+/// Metadata key of the address on which peers reach an entry instance.
 const PEERS_META: &str = "peers";
 
-/// Longest wait of a watch. A waiting watch counts as a call, so longer waits cost less.
-const WATCH_WAIT: Duration = Duration::from_secs(30);
+/// Maximum time that the store may hold a watch call open. Each watch call counts as one read
+/// however long it waits, so a longer wait causes fewer reads.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two looks at whether it is this instance's turn to watch.
-const REVIEW_PAUSE: Duration = Duration::from_secs(1);
+/// Interval at which an instance that is not a watcher checks whether it has become one.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between the first two reads of an instance that does not watch. It doubles with each read:
-/// where many instances start at once, the first lists lack most of them.
-const FIRST_READ_PERIOD: Micros = Micros::from_secs(2);
+/// Time between the first two reads of an instance that is not a watcher. The time doubles with
+/// each read. The first reads must be close together because, when many instances start at the same
+/// time, the first lists do not contain most of them.
+const INITIAL_READ_PERIOD: Micros = Micros::from_secs(2);
 
-/// Longest time that an instance which does not watch goes without a read of its own.
-const LAST_READ_PERIOD: Micros = Micros::from_secs(300);
+/// Maximum time between two reads of an instance that is not a watcher.
+const MAX_READ_PERIOD: Micros = Micros::from_secs(300);
 
-/// Pause after a failed call, so that a store that is down is not hammered.
-const FAILURE_PAUSE: Duration = Duration::from_millis(500);
+/// Delay after a failed call, to limit the load on a store that is unavailable.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Least time between two reads of a list; bounds the calls when a list changes all the time.
-const LEAST_PAUSE: Duration = Duration::from_millis(200);
+/// Minimum time between two reads of a list. It limits the calls when a list changes continuously.
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Puts the instance on the platform's list, trying until that succeeds.
+/// Registers this instance on the platform's list. Retries until that succeeds or the instance is
+/// leaving.
 pub(super) async fn announce(plane: Rc<ControlPlane>) {
     let announcement = announcement(&plane, "live");
     loop {
@@ -51,17 +55,17 @@
         if result.is_ok() || plane.shared.is_leaving() {
             return;
         }
-        monoio::time::sleep(FAILURE_PAUSE).await;
+        monoio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// Marks the instance as leaving on the platform's list.
+/// Marks this instance as leaving on the platform's list.
 pub(super) async fn announce_leaving(plane: &ControlPlane) {
     let result = plane.platform.announce(&announcement(plane, "leaving")).await;
     plane.count_call("announce", &result);
 }
 
-/// Takes the instance off the platform's list.
+/// Removes this instance from the platform's list.
 pub(super) async fn withdraw(plane: &ControlPlane) {
     let result = plane.platform.withdraw(&plane.shared.name().0).await;
     plane.count_call("withdraw", &result);
@@ -87,8 +91,8 @@
 /// Follows the list of entry instances.
 pub(super) async fn follow_entries(plane: Rc<ControlPlane>) {
     follow(plane, ENTRY_LIST, |plane, listing| {
-        let news: Vec<Member> = listing.instances.iter().filter_map(to_member).collect();
-        plane.members.borrow_mut().learn(plane.now(), &news);
+        let members: Vec<Member> = listing.instances.iter().filter_map(to_member).collect();
+        plane.members.borrow_mut().learn(plane.now(), &members);
         plane.publish_members();
     })
     .await;
@@ -105,34 +109,35 @@
     .await;
 }
 
-/// Reads a list at the start, then watches it where this instance is one of the few that do. The
-/// others learn from their peers, and read ever more seldom, in case that every watcher is cut off.
-async fn follow(plane: Rc<ControlPlane>, name: &str, take: impl Fn(&ControlPlane, Listing)) {
+/// Follows a list: reads it at the start, then watches it if this instance is a watcher. Other
+/// instances learn changes from their peers. They also read the list themselves at increasing
+/// intervals, in case all watchers are cut off.
+async fn follow(plane: Rc<ControlPlane>, name: &str, apply: impl Fn(&ControlPlane, Listing)) {
     let mut after: Option<StoreIndex> = None;
     let mut next_read = Micros::ZERO;
-    let mut period = FIRST_READ_PERIOD;
+    let mut period = INITIAL_READ_PERIOD;
     loop {
         if !is_watcher(&plane) {
             if plane.now() < next_read {
-                monoio::time::sleep(REVIEW_PAUSE).await;
+                monoio::time::sleep(ROLE_CHECK_INTERVAL).await;
                 continue;
             }
             after = None;
         }
-        let result = plane.platform.list(name, after, WATCH_WAIT).await;
+        let result = plane.platform.list(name, after, WATCH_TIMEOUT).await;
         plane.count_call("list", &result);
         let Ok(listing) = result else {
-            monoio::time::sleep(FAILURE_PAUSE).await;
+            monoio::time::sleep(RETRY_DELAY).await;
             continue;
         };
         next_read = plane.now() + period;
-        period = Micros(period.0 * 2).min(LAST_READ_PERIOD);
+        period = Micros(period.0 * 2).min(MAX_READ_PERIOD);
         let position = listing.position;
         if after != Some(position) {
-            take(&plane, listing);
+            apply(&plane, listing);
         }
         after = Some(position);
-        monoio::time::sleep(LEAST_PAUSE).await;
+        monoio::time::sleep(MIN_READ_INTERVAL).await;
     }
 }
 
--- a/crates/galenapath-entry/src/control/mod.rs
+++ b/crates/galenapath-entry/src/control/mod.rs
@@ -1,8 +1,9 @@
-//! The control side of an instance: the platform, the peers, the operators. One thread of its own,
-//! so that nothing here delays a request.
+//! The control side of an instance: communication with the platform, peers and operators. It runs
+//! on a separate thread, so that it does not delay requests.
 
 mod accept;
 mod backends;
+mod broadcast;
 mod claims;
 mod configuration;
 mod events;
@@ -12,10 +13,9 @@
 mod peer_versions;
 mod plane;
 mod publish;
-mod spread;
 mod start;
 mod stop;
-mod store_use;
+mod store_usage;
 
 pub use plane::{ControlPlane, Wiring};
 pub use start::run;
--- a/crates/galenapath-entry/src/control/operators/answer.rs
+++ b/crates/galenapath-entry/src/control/operators/answer.rs
@@ -1,16 +1,16 @@
-//! Answers to operators.
+//! HTTP answers to operators.
 
 use galenapath_config::wire::{ErrorCodeWire, ErrorWire, MarkWire, VerdictWire};
 use http::StatusCode;
 use http::header::{CONTENT_TYPE, HeaderMap, HeaderValue, RETRY_AFTER};
 use serde::Serialize;
 
-/// An answer.
+/// An HTTP answer with a complete body.
 pub(super) struct Answer {
     pub(super) status: StatusCode,
     pub(super) content_type: &'static str,
     pub(super) body: Vec<u8>,
-    /// Seconds after which the operator should come back.
+    /// Value of the `Retry-After` header, in seconds.
     pub(super) retry_after_s: Option<u64>,
 }
 
@@ -29,11 +29,12 @@
         }
     }
 
-    /// An error by which nothing was changed.
+    /// Creates an error answer to a request that changed nothing.
     pub(super) fn error(status: StatusCode, code: ErrorCodeWire, message: String) -> Self {
         Self::failure(status, code, message, VerdictWire::NotRun, None)
     }
 
+    /// Creates an error answer with a verdict on whether the request may have changed something.
     pub(super) fn failure(
         status: StatusCode,
         code: ErrorCodeWire,
@@ -44,7 +45,7 @@
         Self::json(status, &ErrorWire { code, message, verdict, newer })
     }
 
-    pub(super) fn come_back_after(self, seconds: u64) -> Self {
+    pub(super) fn with_retry_after(self, seconds: u64) -> Self {
         Self { retry_after_s: Some(seconds), ..self }
     }
 
--- a/crates/galenapath-entry/src/control/operators/changes.rs
+++ b/crates/galenapath-entry/src/control/operators/changes.rs
@@ -1,8 +1,8 @@
-//! `POST /v1/changes`: operators' changes, for those who know the token.
+//! `POST /v1/changes`: configuration changes by operators, authorized by the token.
 
 use super::answer::Answer;
 use crate::control::plane::ControlPlane;
-use crate::control::{accept, spread};
+use crate::control::{accept, broadcast};
 use galenapath_config::wire::{AcceptedWire, ChangeRequestWire, ErrorCodeWire, VerdictWire};
 use galenapath_config::{ChangeRequest, DecodeError, Outcome, Refusal, Version, mark_wire};
 use galenapath_protocol::Verdict;
@@ -11,54 +11,59 @@
 use std::rc::Rc;
 use subtle::ConstantTimeEq;
 
-/// Seconds after which an operator should try a store again that could not be used. Its calls
-/// time out after two seconds, so an outage that ends is seen by then.
+/// Seconds after which an operator should retry a change when the store could not be used. Store
+/// calls time out after two seconds, so the end of an outage has been detected by then.
 const STORE_RETRY_S: u64 = 5;
 
-/// Decides on a change.
-pub(super) async fn change(plane: &Rc<ControlPlane>, headers: &HeaderMap, body: &[u8]) -> Answer {
+/// Handles a change request.
+pub(super) async fn handle_change(
+    plane: &Rc<ControlPlane>,
+    headers: &HeaderMap,
+    body: &[u8],
+) -> Answer {
     if !is_authorized(&plane.wiring.token, headers) {
         plane.shared.metrics.count_fault("operator_unauthorized");
         let message = "the token is missing or wrong; pass --token-file".to_owned();
         return Answer::error(StatusCode::UNAUTHORIZED, ErrorCodeWire::Unauthorized, message);
     }
-    let req = match parse(body) {
+    let req = match parse_change(body) {
         Ok(req) => req,
-        Err(e) => return invalid(e.to_string()),
+        Err(e) => return answer_invalid(e.to_string()),
     };
     let (id, author) = (req.id.clone(), req.author.clone());
     let class = req.change.class_name().to_owned();
     let outcome = accept::accept(plane, req).await;
-    log::info!(change:% = id, author, class, outcome = name(&outcome); "change decided");
+    log::info!(change:% = id, author, class, outcome = outcome_name(&outcome); "change decided");
     match outcome {
-        Outcome::Accepted { version, .. } => accepted(plane, version).await,
-        Outcome::Refused(refusal) => refused(&refusal),
-        Outcome::Unavailable(verdict) => unavailable(verdict),
-        Outcome::StoreBehind => store_behind(),
+        Outcome::Accepted { version, .. } => answer_accepted(plane, version).await,
+        Outcome::Refused(refusal) => answer_rejected(&refusal),
+        Outcome::Unavailable(verdict) => answer_unavailable(verdict),
+        Outcome::StoreBehind => answer_store_behind(),
     }
 }
 
-/// Compares in constant time for tokens of one length; the length is no secret.
+/// Returns whether the headers contain the operators' token. The comparison takes constant time for
+/// tokens of equal length; the length itself is not secret.
 fn is_authorized(token: &str, headers: &HeaderMap) -> bool {
     let value = headers.get(AUTHORIZATION).map(|value| value.as_bytes());
     let given = value.and_then(|value| value.strip_prefix(b"Bearer ")).unwrap_or_default();
     bool::from(given.ct_eq(token.as_bytes()))
 }
 
-fn parse(body: &[u8]) -> Result<ChangeRequest, DecodeError> {
+fn parse_change(body: &[u8]) -> Result<ChangeRequest, DecodeError> {
     serde_json::from_slice::<ChangeRequestWire>(body)?.try_into()
 }
 
-async fn accepted(plane: &Rc<ControlPlane>, version: Version) -> Answer {
-    let known_by = spread::spread(plane, version).await;
+async fn answer_accepted(plane: &Rc<ControlPlane>, version: Version) -> Answer {
+    let known_by = broadcast::broadcast_version(plane, version).await;
     Answer::json(StatusCode::OK, &AcceptedWire { version: version.0, known_by })
 }
 
-fn invalid(message: String) -> Answer {
+fn answer_invalid(message: String) -> Answer {
     Answer::error(StatusCode::BAD_REQUEST, ErrorCodeWire::Invalid, message)
 }
 
-fn refused(refusal: &Refusal) -> Answer {
+fn answer_rejected(refusal: &Refusal) -> Answer {
     let message = refusal.to_string();
     match refusal {
         Refusal::Conflict { class, newer } => Answer::failure(
@@ -84,11 +89,11 @@
         Refusal::AlreadyAccepted { .. }
         | Refusal::IdReused { .. }
         | Refusal::TooLarge
-        | Refusal::Invalid(_) => invalid(message),
+        | Refusal::Invalid(_) => answer_invalid(message),
     }
 }
 
-fn unavailable(verdict: Verdict) -> Answer {
+fn answer_unavailable(verdict: Verdict) -> Answer {
     let (verdict, message) = match verdict {
         Verdict::NotRun => (VerdictWire::NotRun, "the store cannot be used; nothing was changed"),
         Verdict::MayHaveRun | Verdict::Answered => {
@@ -98,18 +103,18 @@
     let status = StatusCode::SERVICE_UNAVAILABLE;
     let code = ErrorCodeWire::Unavailable;
     let answer = Answer::failure(status, code, message.to_owned(), verdict, None);
-    answer.come_back_after(STORE_RETRY_S)
+    answer.with_retry_after(STORE_RETRY_S)
 }
 
-fn store_behind() -> Answer {
+fn answer_store_behind() -> Answer {
     let message = "the store holds an older configuration than the one in force, or another one; \
                    nothing was changed. Restore the store's newest state";
     let status = StatusCode::SERVICE_UNAVAILABLE;
     Answer::error(status, ErrorCodeWire::StoreBehind, message.to_owned())
-        .come_back_after(STORE_RETRY_S)
+        .with_retry_after(STORE_RETRY_S)
 }
 
-fn name(outcome: &Outcome) -> &'static str {
+fn outcome_name(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Accepted { .. } => "accepted",
         Outcome::Refused(_) => "refused",
--- a/crates/galenapath-entry/src/control/operators/mod.rs
+++ b/crates/galenapath-entry/src/control/operators/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP for operators, health checks and metrics, on an address of its own.
+//! HTTP server for operators, health checks and metrics, on a separate address.
 
 mod answer;
 mod changes;
@@ -16,38 +16,39 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest head of a request, in bytes.
-const HEAD_LIMIT: usize = 16 * 1024;
+/// Maximum size of a request head, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Largest body of a request, in bytes; the largest change request is smaller.
-const BODY_LIMIT: usize = 64 * 1024;
+/// Maximum size of a request body, in bytes. The largest change request is smaller.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Longest time to send a body.
+/// Maximum time for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Times of an operator's connection.
-const TIMES: HeadTimes = HeadTimes { idle: Duration::from_secs(60), head: Duration::from_secs(10) };
+/// Timeouts of an operator's connection.
+const TIMEOUTS: HeadTimes =
+    HeadTimes { idle: Duration::from_secs(60), head: Duration::from_secs(10) };
 
-/// Serves operators for as long as the instance runs.
+/// Serves operators until the process ends.
 pub(super) async fn serve(plane: Rc<ControlPlane>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((io, _)) => drop(monoio::spawn(connection(Rc::clone(&plane), io))),
-            Err(e) => log::warn!(error:% = e; "cannot accept an operator"),
+            Ok((io, _)) => drop(monoio::spawn(serve_connection(Rc::clone(&plane), io))),
+            Err(e) => log::warn!(error:% = e; "cannot accept an operator connection"),
         }
     }
 }
 
-async fn connection(plane: Rc<ControlPlane>, io: TcpStream) {
-    let mut connection = Connection::new(io, HEAD_LIMIT);
-    while let Ok(head) = connection.read_request(TIMES).await {
-        if request(&plane, &mut connection, &head).await.is_err() {
+async fn serve_connection(plane: Rc<ControlPlane>, io: TcpStream) {
+    let mut connection = Connection::new(io, MAX_HEAD_BYTES);
+    while let Ok(head) = connection.read_request(TIMEOUTS).await {
+        if serve_request(&plane, &mut connection, &head).await.is_err() {
             return;
         }
     }
 }
 
-async fn request(
+async fn serve_request(
     plane: &Rc<ControlPlane>,
     connection: &mut Connection,
     head: &RequestHead,
@@ -55,17 +56,17 @@
     let framing = request_framing(head.version, &head.headers)?;
     let body = monoio::time::timeout(BODY_TIMEOUT, read_body(connection, framing)).await;
     let Some(body) = body.map_err(|_| HttpError::HeadTimeout)?? else {
-        let message = format!("the body is larger than {BODY_LIMIT} bytes");
+        let message = format!("the body is larger than {MAX_BODY_BYTES} bytes");
         let status = StatusCode::PAYLOAD_TOO_LARGE;
         let answer = Answer::error(status, ErrorCodeWire::Invalid, message);
-        write(connection, &answer).await?;
+        write_answer(connection, &answer).await?;
         return Err(HttpError::Closed);
     };
     let answer = route(plane, head, &body).await;
-    write(connection, &answer).await
+    write_answer(connection, &answer).await
 }
 
-/// The whole body; `None` where it is too large.
+/// Reads the whole body; `None` if it is too large.
 async fn read_body(
     connection: &mut Connection,
     framing: Framing,
@@ -73,7 +74,7 @@
     let mut state = BodyState::new(framing);
     let mut body = Vec::new();
     while let Some(piece) = connection.read_body(&mut state).await? {
-        if body.len() + piece.len() > BODY_LIMIT {
+        if body.len() + piece.len() > MAX_BODY_BYTES {
             return Ok(None);
         }
         body.extend_from_slice(&piece);
@@ -85,18 +86,18 @@
     let path = head.uri.path();
     match (&head.method, path) {
         (&Method::GET, "/healthz") => Answer::text(StatusCode::OK, "ok\n"),
-        (&Method::GET, "/readyz") => ready(plane),
+        (&Method::GET, "/readyz") => readiness(plane),
         (&Method::GET, "/metrics") => metrics(plane),
         (&Method::GET, "/v1/classes") => views::classes(plane),
         (&Method::GET, "/v1/status") => views::status(plane),
-        (&Method::GET, "/v1/audit") => match after(head.uri.query()) {
+        (&Method::GET, "/v1/audit") => match parse_after(head.uri.query()) {
             Some(after) => views::audit(plane, after).await,
             None => {
                 let message = "`after` must be a version, such as /v1/audit?after=40".to_owned();
                 Answer::error(StatusCode::BAD_REQUEST, ErrorCodeWire::Invalid, message)
             }
         },
-        (&Method::POST, "/v1/changes") => changes::change(plane, &head.headers, body).await,
+        (&Method::POST, "/v1/changes") => changes::handle_change(plane, &head.headers, body).await,
         (&Method::GET, path) if path.starts_with("/v1/requests/") => {
             views::explain(plane, path.trim_start_matches("/v1/requests/")).await
         }
@@ -107,7 +108,7 @@
     }
 }
 
-fn ready(plane: &ControlPlane) -> Answer {
+fn readiness(plane: &ControlPlane) -> Answer {
     match plane.shared.is_ready() {
         true => Answer::text(StatusCode::OK, "ready\n"),
         false => Answer::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
@@ -120,15 +121,16 @@
     Answer { status: StatusCode::OK, content_type, body, retry_after_s: None }
 }
 
-/// The version in `after=VERSION`; 0 where the query is absent, `None` where it is unreadable.
-fn after(query: Option<&str>) -> Option<u64> {
+/// Returns the version in the query `after=VERSION`: 0 if there is no query, `None` if it is
+/// invalid.
+fn parse_after(query: Option<&str>) -> Option<u64> {
     match query {
         None | Some("") => Some(0),
         Some(query) => query.strip_prefix("after=")?.parse().ok(),
     }
 }
 
-async fn write(connection: &mut Connection, answer: &Answer) -> Result<(), HttpError> {
+async fn write_answer(connection: &mut Connection, answer: &Answer) -> Result<(), HttpError> {
     let framing = Framing::Length(answer.body.len() as u64);
     put_response(connection.output(), answer.status, &answer.headers(), framing, true);
     connection.write_body(framing, &answer.body).await?;
--- a/crates/galenapath-entry/src/control/operators/views.rs
+++ b/crates/galenapath-entry/src/control/operators/views.rs
@@ -1,4 +1,4 @@
-//! What operators can look at.
+//! Read-only views for operators: classes, status, audit log and explanations of requests.
 
 use super::answer::Answer;
 use crate::control::plane::ControlPlane;
@@ -11,10 +11,10 @@
 use galenapath_platform::Platform;
 use http::StatusCode;
 
-/// Seconds after which an operator should ask for an audit page again.
+/// Seconds after which an operator should retry reading an audit page.
 const PAGE_RETRY_S: u64 = 5;
 
-/// `GET /v1/classes`.
+/// `GET /v1/classes`: the classes of the configuration that is in force.
 pub(super) fn classes(plane: &ControlPlane) -> Answer {
     let config = plane.replica.borrow().config().clone();
     let wire = ClassesWire {
@@ -25,10 +25,10 @@
     Answer::json(StatusCode::OK, &wire)
 }
 
-/// `GET /v1/status`.
+/// `GET /v1/status`: state of this instance, its use of the store, and its peers.
 pub(super) fn status(plane: &ControlPlane) -> Answer {
     let shared = &plane.shared;
-    let store = &plane.store_use;
+    let store = &plane.store_usage;
     let state = match (shared.is_draining(), shared.is_ready()) {
         (true, _) => InstanceStateWire::Leaving,
         (false, true) => InstanceStateWire::Serving,
@@ -41,8 +41,8 @@
         state,
         version: plane.replica.borrow().version().0,
         store: StoreStatusWire {
-            reachable: store.reachable.get(),
-            watching: store.watching.get(),
+            reachable: store.is_reachable.get(),
+            watching: store.is_watching.get(),
             reads: store.reads.get(),
             writes: store.writes.get(),
             failures: store.failures.get(),
@@ -56,19 +56,20 @@
     let now = plane.now();
     let members = plane.members.borrow();
     let versions = plane.peer_versions.borrow();
-    let told = members.usable().filter_map(|m| Some((m, versions.get(&m.incarnation)?)));
-    let mut peers: Vec<PeerStatusWire> = told
-        .map(|(member, told)| PeerStatusWire {
+    let reported = members.usable().filter_map(|m| Some((m, versions.get(&m.incarnation)?)));
+    let mut peers: Vec<PeerStatusWire> = reported
+        .map(|(member, reported)| PeerStatusWire {
             name: member.id.to_string(),
-            version: told.version.0,
-            age_ms: (now - told.at).0 / 1_000,
+            version: reported.version.0,
+            age_ms: (now - reported.reported_at).0 / 1_000,
         })
         .collect();
     peers.sort_by(|a, b| a.name.cmp(&b.name));
     peers
 }
 
-/// `GET /v1/audit?after=VERSION`: from the tail, or one page from the store.
+/// `GET /v1/audit?after=VERSION`: the change records after a version, from the tail if it has all
+/// of them, otherwise one page from the store.
 pub(super) async fn audit(plane: &ControlPlane, after: u64) -> Answer {
     let chain = plane.replica.borrow().chain().clone();
     let version = chain.version().0;
@@ -86,14 +87,14 @@
         let message = format!("the audit page {key} cannot be read from the store now");
         let status = StatusCode::SERVICE_UNAVAILABLE;
         return Answer::error(status, ErrorCodeWire::Unavailable, message)
-            .come_back_after(PAGE_RETRY_S);
+            .with_retry_after(PAGE_RETRY_S);
     };
     let newer = page.records.iter().filter(|record| record.version > after);
     let records = newer.map(ChangeRecordWire::from).collect();
     Answer::json(StatusCode::OK, &AuditWire { version, records, complete: false })
 }
 
-/// `GET /v1/requests/ID`.
+/// `GET /v1/requests/ID`: the explanation of a recent request that this instance served.
 pub(super) async fn explain(plane: &ControlPlane, id: &str) -> Answer {
     let (reply, answer) = flume::bounded(1);
     let command = DataCommand::Explain { id: id.to_owned(), reply };
@@ -112,9 +113,9 @@
 }
 
 fn explain_wire(explanation: Explanation) -> ExplainWire {
-    let tried = explanation.attempts.iter();
+    let attempts = explanation.attempts.iter();
     ExplainWire {
-        backends: tried.map(|tried| format!("{}: {}", tried.backend, tried.end)).collect(),
+        backends: attempts.map(|attempt| format!("{}: {}", attempt.backend, attempt.end)).collect(),
         id: explanation.id(),
         class: Some(explanation.class.name.clone()),
         workspace: Some(explanation.workspace),
--- a/crates/galenapath-entry/src/control/plane.rs
+++ b/crates/galenapath-entry/src/control/plane.rs
@@ -1,7 +1,7 @@
-//! The state of the control side.
+//! State of the control thread.
 
 use super::peer_versions::PeerVersion;
-use super::store_use::StoreUse;
+use super::store_usage::StoreUsage;
 use crate::data::DataCommand;
 use crate::shared::{ControlEvent, Shared};
 use flume::{Receiver, Sender};
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Channels between the control thread and the others.
+/// Channels between the control thread and the other threads, and what it needs from the start.
 pub struct Wiring {
     /// Events from the data thread.
     pub events: Receiver<ControlEvent>,
@@ -28,42 +28,42 @@
     pub calls: Sender<PeerCall>,
     /// Calls from peers.
     pub requests: Receiver<PeerRequest>,
-    /// A message for each signal to stop.
+    /// Receives a message for each stop signal.
     pub stops: Receiver<()>,
-    /// Address that peers reach.
+    /// Address on which peers reach this instance.
     pub peer_address: SocketAddr,
     /// The operators' token.
     pub token: String,
 }
 
-/// Everything that the tasks of the control thread share.
+/// State shared by the tasks of the control thread.
 pub struct ControlPlane {
     /// State shared with the other threads.
     pub shared: Arc<Shared>,
-    /// Channels to the other threads.
+    /// Channels to the other threads, and values from the start.
     pub wiring: Wiring,
-    /// The platform.
+    /// Client of the platform.
     pub platform: ConsulPlatform,
-    /// The configuration as this instance knows it.
+    /// Replica of the configuration on this instance.
     pub replica: RefCell<Replica>,
-    /// Versions of the configuration that peers last told.
+    /// Versions of the configuration that the peers last reported.
     pub(super) peer_versions: RefCell<FastMap<Incarnation, PeerVersion>>,
-    /// How the store was used.
-    pub(super) store_use: StoreUse,
-    /// Entry instances.
+    /// Statistics of the calls to the store.
+    pub(super) store_usage: StoreUsage,
+    /// Known entry instances.
     pub(super) members: RefCell<GossipMembership>,
     /// Backend servers that are leaving.
     pub(super) marks: RefCell<LeavingMarks>,
-    /// Requests suspected of crashing backend servers, as told by the data thread and peers.
+    /// Requests suspected of crashing backend servers, as reported by the data thread and by peers.
     pub(super) suspects: RefCell<Suspects>,
     /// Backend servers as last listed.
     pub(super) backends: RefCell<TrackedList<ListedInstance>>,
-    /// Whether a peer is being asked for its list of backend servers.
-    pub(super) is_pulling: Cell<bool>,
+    /// Whether changes of the list of backend servers are being fetched from a peer.
+    pub(super) is_fetching_backends: Cell<bool>,
 }
 
 impl ControlPlane {
-    /// The state at the start: the instance knows only itself.
+    /// Creates the initial state, in which this instance is the only known one.
     pub fn new(shared: Arc<Shared>, wiring: Wiring) -> Rc<Self> {
         let settings = &shared.settings;
         let own = Member {
@@ -83,33 +83,33 @@
             platform,
             replica: RefCell::default(),
             peer_versions: RefCell::default(),
-            store_use: StoreUse::default(),
+            store_usage: StoreUsage::default(),
             members: RefCell::new(members),
             marks: RefCell::default(),
             suspects: RefCell::default(),
             backends: RefCell::default(),
-            is_pulling: Cell::new(false),
+            is_fetching_backends: Cell::new(false),
         });
         plane.publish_members();
         plane
     }
 
-    /// Time now.
+    /// Returns the current time of the instance's clock.
     pub fn now(&self) -> Micros {
         self.shared.clock.now()
     }
 
-    /// Counts a call on the platform and logs its failure.
+    /// Counts a call to the platform, and logs its error if it failed.
     pub(super) fn count_call<T>(
         &self,
         call: &str,
         result: &Result<T, galenapath_platform::PlatformError>,
     ) {
-        self.store_use.count(call, result.is_ok());
+        self.store_usage.count(call, result.is_ok());
         let label = if result.is_ok() { "ok" } else { "failed" };
         self.shared.metrics.platform_calls.with_label_values(&[call, label]).inc();
         if let Err(e) = result {
-            log::warn!(call, error:% = e; "the platform did not answer");
+            log::warn!(call, error:% = e; "call to the platform failed");
         }
     }
 }
--- a/crates/galenapath-entry/src/control/publish.rs
+++ b/crates/galenapath-entry/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Views for the data thread.
+//! Publishes views of the control thread's state for the data thread.
 
 use super::plane::ControlPlane;
 use crate::fleet::Fleet;
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 impl ControlPlane {
-    /// Publishes the entry instances, where they have changed.
+    /// Publishes the entry instances if they have changed.
     pub(super) fn publish_members(&self) {
         let members = self.members.borrow();
         if self.shared.members.load().version == members.version() {
@@ -25,7 +25,7 @@
         let fleet =
             Fleet::from_list(version, self.backends.borrow().entries(), &self.marks.borrow());
         self.shared.fleet.store(Arc::new(fleet));
-        self.update_ready();
+        self.update_readiness();
     }
 
     /// Publishes the configuration.
@@ -35,10 +35,10 @@
         self.shared.config.store(Arc::clone(replica.config()));
         self.shared.metrics.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
         log::info!(version; "configuration in force");
-        self.update_ready();
+        self.update_readiness();
     }
 
-    fn update_ready(&self) {
+    fn update_readiness(&self) {
         let knows_fleet = self.shared.fleet.load().version > 0;
         let knows_config = self.replica.borrow().version().0 > 0;
         if knows_fleet && knows_config {
--- a/crates/galenapath-entry/src/control/stop.rs
+++ b/crates/galenapath-entry/src/control/stop.rs
@@ -1,7 +1,8 @@
-//! A planned stop.
+//! Planned stop of an instance.
 //!
-//! The instance leaves the address answers first, then waits until its callers have moved and its
-//! requests have ended, hands the outcomes of its filings to its successors and goes.
+//! The instance is first removed from the address answers. It then waits until its callers use
+//! other instances and its requests have ended, hands the outcomes of its filings over to its
+//! successors, and removes itself from the platform's list.
 
 use super::plane::ControlPlane;
 use super::{gossip, lists};
@@ -14,18 +15,20 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Time for which a leaving instance still takes new requests, so that callers that hold an
-/// address answer are not refused: an answer is kept for five seconds, and gossip takes one more.
-const GRACE: Duration = Duration::from_secs(6);
+/// Time for which a leaving instance still accepts new requests, so that callers with an earlier
+/// address answer are not rejected. Callers keep an answer for five seconds, and gossip takes one
+/// more.
+const GRACE_PERIOD: Duration = Duration::from_secs(6);
 
-/// Most bytes of outcomes in one message. Their text form is more than twice as long, and peers
-/// take messages of eight megabytes.
-const PART_BYTES: usize = 1 << 20;
+/// Maximum size of the outcomes in one message, in bytes. Their text form is more than twice as
+/// long, and peers accept messages of up to eight megabytes.
+const MAX_PART_BYTES: usize = 1 << 20;
 
-/// Time between two looks at the requests in progress.
-const POLL: Duration = Duration::from_millis(20);
+/// Interval at which the number of requests in progress is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits for a signal to stop and carries out the stop. A second signal ends the waits.
+/// Waits for a stop signal and performs the stop. Each further signal ends the current sleep, so a
+/// second signal skips the rest of the grace period.
 pub(super) async fn wait_and_drain(plane: &Rc<ControlPlane>) {
     let _ = plane.wiring.stops.recv_async().await;
     let limit = plane.shared.settings.limits.drain_timeout;
@@ -34,22 +37,22 @@
     plane.shared.set_stage(Stage::Leaving);
     plane.members.borrow_mut().leave(plane.now());
     plane.publish_members();
-    let told = Rc::clone(plane);
-    monoio::spawn(async move { gossip::tell_all(&told).await });
+    let task_plane = Rc::clone(plane);
+    monoio::spawn(async move { gossip::notify_all(&task_plane).await });
     lists::announce_leaving(plane).await;
-    wait(plane, GRACE.min(limit / 2)).await;
+    sleep_or_signal(plane, GRACE_PERIOD.min(limit / 2)).await;
     plane.shared.set_stage(Stage::Draining);
     let _ = plane.wiring.commands.send_async(DataCommand::BeginStop).await;
     while Instant::now() < end && in_progress(plane).await > 0 {
-        wait(plane, POLL).await;
+        sleep_or_signal(plane, POLL_INTERVAL).await;
     }
     hand_over(plane).await;
     lists::withdraw(plane).await;
     log::info!(in_progress = in_progress(plane).await; "stopped");
 }
 
-/// Sleeps, but not past a second signal.
-async fn wait(plane: &ControlPlane, time: Duration) {
+/// Sleeps until the time has passed or another stop signal arrives.
+async fn sleep_or_signal(plane: &ControlPlane, time: Duration) {
     let _ = monoio::time::timeout(time, plane.wiring.stops.recv_async()).await;
 }
 
@@ -61,7 +64,7 @@
     rx.recv_async().await.unwrap_or(0)
 }
 
-/// Gives the outcomes of the own filings to the successors.
+/// Hands the outcomes of this instance's filings over to its successors.
 async fn hand_over(plane: &ControlPlane) {
     let (reply, rx) = flume::bounded(1);
     if plane.wiring.commands.send_async(DataCommand::HandOver { reply }).await.is_err() {
@@ -70,18 +73,19 @@
     let Ok(outcomes) = rx.recv_async().await else { return };
     let own = plane.shared.incarnation;
     let usable: Vec<_> = plane.members.borrow().usable().map(|m| m.incarnation).collect();
-    let parts = HandOver::parts(outcomes, PART_BYTES);
+    let parts = HandOver::parts(outcomes, MAX_PART_BYTES);
     for successor in successors(own, &usable, SUCCESSOR_COUNT) {
         let to = plane.members.borrow().find(successor).map(|member| member.peer_address);
         let Some(to) = to else { continue };
-        let mut taken = 0;
+        let mut accepted = 0;
         for part in &parts {
-            taken += usize::from(send_part(plane, to, part).await);
+            accepted += usize::from(send_part(plane, to, part).await);
         }
-        log::info!(to:% = to, parts = parts.len(), taken; "outcomes handed over");
+        log::info!(to:% = to, parts = parts.len(), taken = accepted; "outcomes handed over");
     }
 }
 
+/// Sends one part of the outcomes; returns whether the successor accepted it.
 async fn send_part(plane: &ControlPlane, to: SocketAddr, part: &[HandOver]) -> bool {
     let outcomes = galenapath_peers::hand_over(plane.shared.incarnation, part);
     let (reply, answer) = flume::bounded(1);
@@ -90,8 +94,9 @@
     is_sent && matches!(answer.recv_async().await, Ok(Ok(true)))
 }
 
-/// Takes over the outcomes of an incarnation that stops.
-pub(super) fn adopt(plane: &ControlPlane, wire: &HandOverWire) -> bool {
+/// Passes the outcomes handed over by an incarnation that is stopping to the data thread. Returns
+/// whether they were accepted.
+pub(super) fn apply_hand_over(plane: &ControlPlane, wire: &HandOverWire) -> bool {
     let Ok(outcomes) = galenapath_peers::outcomes(wire) else {
         plane.shared.metrics.count_fault("bad_hand_over");
         return false;
