--- a/crates/galenapath-ctl/src/causes/cause.rs
+++ b/crates/galenapath-ctl/src/causes/cause.rs
@@ -1,71 +1,73 @@
-//! The one cause that a request is counted under.
+//! Classifies a late, rejected or failed request under exactly one cause.
 
-use super::ended::Ended;
+use super::request_end::RequestEnd;
 use serde::Serialize;
 use std::fmt;
 
-/// Why a request was late, refused or failed.
+/// Why a request was late, rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// Refused: its wait would have been too long.
+    /// Rejected: its predicted wait was too long.
     NoRoom,
-    /// Refused, and it had come after its target: its caller had been refused or cut off before.
+    /// Rejected for its predicted wait, and it had arrived after its target: an earlier attempt of
+    /// its caller was rejected or cut off.
     NoRoomAgain,
-    /// Refused: most servers of its service are in failure domains that are evacuated.
+    /// Rejected: most servers of its service were in evacuated failure domains.
     Evacuated,
-    /// Refused: most servers of its service are cold and can take few requests.
+    /// Rejected: most servers of its service were warming up and accepted few requests.
     ServersCold,
-    /// Refused: most servers of its service name a rate limit.
+    /// Rejected: most servers of its service had stated a rate limit.
     ServersLimited,
-    /// Refused: most servers of its service wanted nothing from the instance for a while.
+    /// Rejected: most servers of its service had paused requests from the instance.
     ServersPaused,
-    /// Refused: there was no server to send it to.
+    /// Rejected: there was no server to send it to.
     NoServer,
-    /// Refused: a server that seemed free did not take it, and no retry was left.
+    /// Rejected: a server that appeared to be free shed it, and no retry was left.
     Shed,
-    /// Refused: it is taken to crash servers.
+    /// Rejected: it is a crash suspect.
     CrashesServers,
-    /// Failed: the server's own error.
+    /// Failed: the server answered with its own error.
     ServerError,
-    /// Failed: the connection broke or the answer could not be passed on.
+    /// Failed: the connection broke or the answer could not be forwarded.
     BadAnswer,
-    /// Failed: no answer within the time of its caller or route.
+    /// Failed: no answer within the timeout of its caller or route.
     Timeout,
-    /// Failed: its caller left.
+    /// Failed: its caller disconnected.
     CallerLeft,
-    /// Late: its target had passed when it came.
+    /// Late: its target had passed when it arrived.
     CameLate,
-    /// Late: it was sent more than once, after a fault or as a copy.
+    /// Late: it was sent more than once, as a retry or a hedge.
     SentAgain,
-    /// Late by the time that it spent at servers which turned out slow, full or silent.
+    /// Late because of the time spent on load queries to servers that turned out to be slow, full
+    /// or silent.
     PassedOver,
-    /// Late by its wait for a server.
+    /// Late because of its wait for a server.
     Waited,
     /// Late: sent to a server that was known to be slow.
     SlowServer,
-    /// Late: it took the last slot of a server, or waited there.
+    /// Late: it occupied the last slot of a server, or waited there.
     LastSlot,
-    /// Late although it had a slot and a server at its usual pace: its work, or a spell that began just
-    /// then.
+    /// Late although it had a slot on a server at its usual pace: the request took much work, or a
+    /// slow period of the server began after the send.
     Work,
-    /// None of these.
+    /// None of the other causes.
     Unknown,
 }
 
 impl Cause {
-    /// The cause of a request that was not answered in target.
-    pub fn of(ended: &Ended) -> Self {
+    /// Determines the cause for a request that was not answered within its target.
+    pub fn classify(ended: &RequestEnd) -> Self {
         let fields = &ended.fields;
         if ended.is_answered() {
-            return Self::of_late(ended);
+            return Self::classify_late(ended);
         }
         match fields.outcome.as_str() {
-            "no_room" | "no_server" if ended.count("withdrawn") > 0 => Self::Evacuated,
-            "no_room" | "no_server" if ended.count("cold") > 0 => Self::ServersCold,
-            "no_room" | "no_server" if ended.count("limited") > 0 => Self::ServersLimited,
-            "no_room" | "no_server" if ended.count("paused") > 0 => Self::ServersPaused,
-            "no_room" if ended.came_late() => Self::NoRoomAgain,
+            "no_room" | "no_server" if ended.count_steps("withdrawn") > 0 => Self::Evacuated,
+            "no_room" | "no_server" if ended.count_steps("cold") > 0 => Self::ServersCold,
+            "no_room" | "no_server" if ended.count_steps("limited") > 0 => Self::ServersLimited,
+            "no_room" | "no_server" if ended.count_steps("paused") > 0 => Self::ServersPaused,
+            "no_room" if ended.arrived_late() => Self::NoRoomAgain,
             "no_room" => Self::NoRoom,
             "no_server" | "unreachable" => Self::NoServer,
             "refused" | "other_server" => Self::Shed,
@@ -79,15 +81,15 @@
         }
     }
 
-    fn of_late(ended: &Ended) -> Self {
+    fn classify_late(ended: &RequestEnd) -> Self {
         let fields = &ended.fields;
-        if ended.came_late() {
+        if ended.arrived_late() {
             return Self::CameLate;
         }
         let over_ms = fields.took_ms.saturating_sub(fields.target_ms);
         let is_enough = |ms: u64| ms > 0 && ms >= over_ms;
-        let Some(known) = ended.known() else { return Self::Unknown };
-        if ended.count("sent") > 1 {
+        let Some(known) = ended.load_at_last_send() else { return Self::Unknown };
+        if ended.count_steps("sent") > 1 {
             Self::SentAgain
         } else if is_enough(fields.waited_ms) {
             Self::Waited
@@ -102,29 +104,29 @@
         }
     }
 
-    /// Its name in tables.
+    /// Its description in tables.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::NoRoom => "refused: no room",
-            Self::NoRoomAgain => "refused: no room, came after its target",
-            Self::Evacuated => "refused: failure domain evacuated",
-            Self::ServersCold => "refused: servers cold",
-            Self::ServersLimited => "refused: servers name rate limits",
-            Self::ServersPaused => "refused: servers want nothing for a while",
-            Self::NoServer => "refused: no server",
-            Self::Shed => "refused: shed by a server",
-            Self::CrashesServers => "refused: crashes servers",
-            Self::ServerError => "failed: error of the server",
-            Self::BadAnswer => "failed: answer lost or bad",
+            Self::NoRoom => "rejected: no room",
+            Self::NoRoomAgain => "rejected: no room, arrived after its target",
+            Self::Evacuated => "rejected: failure domain evacuated",
+            Self::ServersCold => "rejected: servers warming up",
+            Self::ServersLimited => "rejected: servers at rate limits",
+            Self::ServersPaused => "rejected: servers paused",
+            Self::NoServer => "rejected: no server",
+            Self::Shed => "rejected: shed by a server",
+            Self::CrashesServers => "rejected: crash suspect",
+            Self::ServerError => "failed: server error",
+            Self::BadAnswer => "failed: answer lost or invalid",
             Self::Timeout => "failed: no answer in time",
-            Self::CallerLeft => "failed: caller left",
-            Self::CameLate => "late: came after its target",
+            Self::CallerLeft => "failed: caller disconnected",
+            Self::CameLate => "late: arrived after its target",
             Self::SentAgain => "late: sent more than once",
-            Self::PassedOver => "late: servers passed over",
-            Self::Waited => "late: waited",
+            Self::PassedOver => "late: queried servers were unfit",
+            Self::Waited => "late: waited for a server",
             Self::SlowServer => "late: slow server",
             Self::LastSlot => "late: last slot",
-            Self::Work => "late: work, or a spell just begun",
+            Self::Work => "late: work, or a new slow period",
             Self::Unknown => "unknown",
         }
     }
--- a/crates/galenapath-ctl/src/causes/count.rs
+++ b/crates/galenapath-ctl/src/causes/count.rs
@@ -1,67 +1,68 @@
-//! Counting causes by service and by time.
+//! Counts causes by service and by time window.
 
 use super::cause::Cause;
-use super::ended::Ended;
+use super::request_end::RequestEnd;
 use crate::trace::LogLine;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Event of the first line of an instance.
+/// Event that an instance logs first.
 const STARTED: &str = "started";
 
-/// Requests of one service under one cause.
+/// Number of requests of one service with one cause.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CauseCount {
     /// The service.
     pub service: String,
     /// The cause.
     pub cause: Cause,
-    /// Requests.
+    /// Number of requests.
     pub count: usize,
     /// Identifier of the first of them, for `galenactl trace`.
     pub first: String,
 }
 
-/// Requests that ended within one window.
+/// Counts of the requests that ended within one time window.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct WindowCount {
     /// Start, in seconds since the start of the first window.
     pub from_s: f64,
-    /// Requests with a line. Of those that went well only a part has one.
+    /// Requests with a log line. Only some of the successful requests have one.
     pub ended: usize,
-    /// Late ones.
+    /// Late requests.
     pub late: usize,
-    /// Refused and failed ones.
+    /// Rejected and failed requests.
     pub lost: usize,
-    /// Instances that started: their callers came late because they had found nobody before.
+    /// Instances that started in the window. Requests at a new instance can arrive after their
+    /// target because their callers reached no instance before.
     pub started: usize,
-    /// The most frequent cause, where there is one.
+    /// The most frequent cause, if any.
     pub most: Option<Cause>,
 }
 
-/// What the logs tell.
+/// Causes of late, rejected and failed requests in the logs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Causes {
-    /// Requests with a line.
+    /// Requests with a log line.
     pub ended: usize,
-    /// Lines that the instances left out to stay within their budget.
+    /// Log lines that the instances left out to stay within their log line budget.
     pub left_out: u64,
-    /// By service, the most frequent first.
+    /// Counts by service, the most frequent cause of each first.
     pub causes: Vec<CauseCount>,
-    /// By time.
+    /// Counts by time window.
     pub windows: Vec<WindowCount>,
 }
 
-/// Counts why requests were late, refused or failed, one line at a time. What it keeps grows with the causes
-/// and the time that the logs cover, not with their lines.
+/// Counts why requests were late, rejected or failed, one line at a time. Its memory use grows with
+/// the number of causes and the time that the logs cover, not with the number of lines.
 #[derive(Clone, Debug)]
 pub struct Counter {
     window_s: f64,
     ended: usize,
     left_out: u64,
-    /// By service and cause, with the time of the first.
+    /// Counts by service and cause, with the time of the first request.
     causes: BTreeMap<(String, Cause), (CauseCount, f64)>,
-    /// By the number of the window since the epoch.
+    /// Windows by their index since the epoch.
     windows: BTreeMap<u64, Window>,
 }
 
@@ -75,38 +76,38 @@
 }
 
 impl Counter {
-    /// Counts by windows of `window_s` seconds.
+    /// Creates a counter with time windows of `window_s` seconds.
     pub fn new(window_s: f64) -> Self {
         let (causes, windows) = (BTreeMap::new(), BTreeMap::new());
         Self { window_s, ended: 0, left_out: 0, causes, windows }
     }
 
-    /// Takes in one line.
-    pub fn take(&mut self, line: &LogLine) {
+    /// Counts one log line.
+    pub fn record_line(&mut self, line: &LogLine) {
         let left_out = line.rest.get("lines_left_out").and_then(serde_json::Value::as_u64);
         self.left_out += left_out.unwrap_or(0);
         if line.event == STARTED {
             self.window(line.t).started += 1;
         }
-        let Some(ended) = Ended::read(line) else { return };
+        let Some(ended) = RequestEnd::parse(line) else { return };
         self.ended += 1;
         let window = self.window(ended.t);
         window.ended += 1;
-        if ended.is_good() {
+        if ended.is_in_target() {
             return;
         }
-        let cause = Cause::of(&ended);
+        let cause = Cause::classify(&ended);
         window.late += usize::from(ended.is_answered());
         window.lost += usize::from(!ended.is_answered());
         *window.causes.entry(cause).or_default() += 1;
-        self.count(&ended, cause, line.request.as_deref().unwrap_or_default());
+        self.count_cause(&ended, cause, line.request.as_deref().unwrap_or_default());
     }
 
     fn window(&mut self, t: f64) -> &mut Window {
         self.windows.entry((t / self.window_s) as u64).or_default()
     }
 
-    fn count(&mut self, ended: &Ended, cause: Cause, request: &str) {
+    fn count_cause(&mut self, ended: &RequestEnd, cause: Cause, request: &str) {
         let service = &ended.fields.service;
         let new = || {
             let first = request.to_owned();
@@ -120,7 +121,7 @@
         }
     }
 
-    /// What was counted.
+    /// Returns the counts.
     pub fn finish(self) -> Causes {
         let mut causes: Vec<CauseCount> =
             self.causes.into_values().map(|(count, _)| count).collect();
@@ -141,9 +142,10 @@
     }
 }
 
-/// Counts why the requests in `lines` were late, refused or failed, by windows of `window_s` seconds.
-pub fn causes(lines: &[LogLine], window_s: f64) -> Causes {
+/// Counts why the requests in `lines` were late, rejected or failed, in time windows of `window_s`
+/// seconds.
+pub fn count_causes(lines: &[LogLine], window_s: f64) -> Causes {
     let mut counter = Counter::new(window_s);
-    lines.iter().for_each(|line| counter.take(line));
+    lines.iter().for_each(|line| counter.record_line(line));
     counter.finish()
 }
--- a/crates/galenapath-ctl/src/causes/ended.rs
+++ b/crates/galenapath-ctl/src/causes/request_end.rs
@@ -1,39 +1,39 @@
-//! The end of one request, as its log line tells it.
+//! The end of one request, parsed from its log line.
 
 use crate::trace::{LogLine, Step};
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Event of the lines that are counted.
-const EVENT: &str = "request ended";
+/// Event of the log line that ends a request.
+const REQUEST_ENDED: &str = "request ended";
 
-/// Pace in percent from which a server works clearly slower than usual.
-const SLOW_PACE: u64 = 150;
+/// Pace from which a server counts as slow; 100 is its usual pace.
+const SLOW_PACE_PERCENT: u64 = 150;
 
-/// What the line says beside its steps.
+/// Fields of the log line other than the steps.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-pub(super) struct Fields {
+pub(super) struct RequestEndFields {
     pub(super) service: String,
     pub(super) status: u16,
     pub(super) outcome: String,
-    /// Time at the instance.
+    /// Time that the request spent at the instance.
     pub(super) took_ms: u64,
-    /// Part of it that was spent waiting for a server.
+    /// Part of that time spent waiting for a server.
     pub(super) waited_ms: u64,
-    /// Time from its arrival within which an answer was worth most; zero where that had passed.
+    /// Time from its arrival to its target; zero if the target had already passed.
     pub(super) target_ms: u64,
 }
 
-/// A server as it was known when the request was sent there.
+/// The last known load of a server when a request was sent to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Known {
+pub(super) struct KnownLoad {
     pub(super) load: u64,
     pub(super) slots: u64,
     pub(super) pace: u64,
 }
 
-impl Known {
-    /// Reads the detail of a step such as `load2/3:pace100:known3ms`.
+impl KnownLoad {
+    /// Parses the detail of a step such as `load2/3:pace100:known3ms`.
     fn parse(detail: &str) -> Option<Self> {
         let mut parts = detail.split(':');
         let (load, slots) = parts.next()?.strip_prefix("load")?.split_once('/')?;
@@ -46,10 +46,10 @@
     }
 
     pub(super) fn is_slow(self) -> bool {
-        self.pace >= SLOW_PACE
+        self.pace >= SLOW_PACE_PERCENT
     }
 
-    /// Whether the request took the last slot or waited at the server.
+    /// Whether the request occupied the last slot or had to wait at the server.
     pub(super) fn is_last_slot(self) -> bool {
         self.load + 1 >= self.slots
     }
@@ -57,17 +57,17 @@
 
 /// The end of one request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct RequestEnd {
     /// Seconds since the epoch.
     pub t: f64,
-    pub(super) fields: Fields,
+    pub(super) fields: RequestEndFields,
     pub(super) steps: Vec<Step>,
 }
 
-impl Ended {
-    /// Reads a line; `None` for one of another event or without the fields that it takes.
-    pub fn read(line: &LogLine) -> Option<Self> {
-        if line.event != EVENT {
+impl RequestEnd {
+    /// Parses a log line. Returns `None` if it is about another event or lacks a required field.
+    pub fn parse(line: &LogLine) -> Option<Self> {
+        if line.event != REQUEST_ENDED {
             return None;
         }
         let fields = serde_json::from_value(Value::Object(line.rest.clone())).ok()?;
@@ -76,7 +76,7 @@
     }
 
     /// Whether it was answered within its target.
-    pub fn is_good(&self) -> bool {
+    pub fn is_in_target(&self) -> bool {
         self.is_answered() && self.fields.took_ms <= self.fields.target_ms
     }
 
@@ -84,25 +84,25 @@
         (200..300).contains(&self.fields.status)
     }
 
-    /// Whether its target had passed when it came.
-    pub(super) fn came_late(&self) -> bool {
+    /// Whether its target had passed when it arrived.
+    pub(super) fn arrived_late(&self) -> bool {
         self.fields.target_ms == 0
     }
 
-    /// How often a step of that name stands in it.
-    pub(super) fn count(&self, name: &str) -> usize {
-        let is = |step: &&Step| match step {
-            Step::AtServer { what, .. } => what == name,
-            Step::Word(word) => word == name,
-            Step::Refused { .. } => false,
+    /// Number of steps with this name.
+    pub(super) fn count_steps(&self, name: &str) -> usize {
+        let has_name = |step: &&Step| match step {
+            Step::AtServer { event, .. } => event == name,
+            Step::Other(word) => word == name,
+            Step::Rejected { .. } => false,
         };
-        self.steps.iter().filter(is).count()
+        self.steps.iter().filter(has_name).count()
     }
 
-    /// Milliseconds that passed at servers which it then was not sent to.
+    /// Milliseconds spent on servers that the request was then not sent to.
     pub(super) fn passed_over_ms(&self) -> u64 {
         let time = |step: &Step| match step {
-            Step::AtServer { what, detail, .. } if what == "unfit" || what == "not_asked" => {
+            Step::AtServer { event, detail, .. } if event == "unfit" || event == "not_asked" => {
                 detail.trim_end_matches("ms").parse::<u64>().ok()
             }
             _ => None,
@@ -110,10 +110,10 @@
         self.steps.iter().filter_map(time).sum::<u64>()
     }
 
-    /// The server of the last send, as it was known then.
-    pub(super) fn known(&self) -> Option<Known> {
+    /// The load of the server of the last send, as known at that time.
+    pub(super) fn load_at_last_send(&self) -> Option<KnownLoad> {
         self.steps.iter().rev().find_map(|step| match step {
-            Step::AtServer { what, detail, .. } if what == "sent" => Known::parse(detail),
+            Step::AtServer { event, detail, .. } if event == "sent" => KnownLoad::parse(detail),
             _ => None,
         })
     }
--- a/crates/galenapath-ctl/src/classes.rs
+++ b/crates/galenapath-ctl/src/classes.rs
@@ -1,4 +1,4 @@
-//! `galenactl class`: listing and changing classes.
+//! The command `galenactl class`: lists and changes classes.
 
 use crate::client::Client;
 use crate::options::{ChangeArgs, ClassCommand, CreateClass, Kind, TargetArgs};
@@ -9,7 +9,7 @@
     RemoveClassWire, SetTargetWire, TargetWire,
 };
 
-/// Author where neither the arguments nor the environment name one.
+/// Author of a change if neither the arguments nor the environment give one.
 const UNKNOWN_AUTHOR: &str = "unknown";
 
 pub(crate) async fn run(
@@ -58,7 +58,7 @@
     print(format, &classes, classes_table)
 }
 
-/// Sends a change on the newest revision, or on the one that the operator names.
+/// Sends a change based on the revision that the operator gave, or on the newest one.
 async fn send(
     client: &Client,
     change: ChangeWire,
@@ -99,7 +99,7 @@
 
 fn accepted_table(accepted: &AcceptedWire) -> Table {
     let mut table = Table::new(&["VERSION", "KNOWN-BY"]);
-    table.row(vec![accepted.version.to_string(), accepted.known_by.to_string()]);
+    table.push_row(vec![accepted.version.to_string(), accepted.known_by.to_string()]);
     table
 }
 
@@ -111,7 +111,7 @@
             true => "any".to_owned(),
             false => class.methods.join(","),
         };
-        table.row(vec![
+        table.push_row(vec![
             class.name.clone(),
             class.service.clone(),
             class.kind.to_string(),
--- a/crates/galenapath-ctl/src/client.rs
+++ b/crates/galenapath-ctl/src/client.rs
@@ -1,4 +1,5 @@
-//! Calls on an entry instance's operators' interface, one connection each.
+//! HTTP client for the operators' interface of an entry instance. Each call opens its own
+//! connection.
 
 use crate::CtlError;
 use galenapath_config::wire::ErrorWire;
@@ -11,14 +12,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Largest head of an answer, in bytes.
+/// Maximum size of the head of an answer, in bytes.
 const HEAD_LIMIT: usize = 16 * 1024;
-/// Largest answer, in bytes.
+/// Maximum size of the body of an answer, in bytes.
 const BODY_LIMIT: usize = 8 << 20;
-/// Longest wait for a connection.
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An entry instance to ask.
+/// A client of one entry instance.
 pub(crate) struct Client {
     address: SocketAddr,
     token: Option<String>,
@@ -30,12 +31,13 @@
         Self { address, token, timeout }
     }
 
-    /// Reads a document.
+    /// Sends a GET request and parses the answer.
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CtlError> {
         self.call(Method::GET, path, &[]).await
     }
 
-    /// Sends a document. Once it was sent, a failure says nothing about its effect.
+    /// Sends `body` and parses the answer. If the call fails after the request was sent, the
+    /// request may still have taken effect.
     pub(crate) async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -56,16 +58,16 @@
         let (status, body) = match answer {
             Ok(Ok(answer)) => answer,
             Ok(Err(e)) => return Err(self.no_answer(e.to_string())),
-            Err(_) => return Err(self.no_answer(format!("nothing within {:?}", self.timeout))),
+            Err(_) => return Err(self.no_answer(format!("no answer within {:?}", self.timeout))),
         };
-        let bad = |e: serde_json::Error| CtlError::BadAnswer {
+        let unreadable = |e: serde_json::Error| CtlError::BadAnswer {
             address: self.address,
             reason: format!("status {status}, {e}"),
         };
         if status.is_success() {
-            return serde_json::from_slice(&body).map_err(bad);
+            return serde_json::from_slice(&body).map_err(unreadable);
         }
-        Err(CtlError::Refused(serde_json::from_slice::<ErrorWire>(&body).map_err(bad)?))
+        Err(CtlError::ErrorAnswer(serde_json::from_slice::<ErrorWire>(&body).map_err(unreadable)?))
     }
 
     async fn connect(&self) -> Result<Connection, CtlError> {
@@ -74,7 +76,7 @@
         match monoio::time::timeout(CONNECT_TIMEOUT, connect).await {
             Ok(Ok(io)) => Ok(Connection::new(io, HEAD_LIMIT)),
             Ok(Err(e)) => Err(unreachable(e.to_string())),
-            Err(_) => Err(unreachable(format!("nothing within {CONNECT_TIMEOUT:?}"))),
+            Err(_) => Err(unreachable(format!("no connection within {CONNECT_TIMEOUT:?}"))),
         }
     }
 
@@ -97,11 +99,11 @@
         let framing = response_framing(method, head.status, &head.headers)?;
         let mut state = BodyState::new(framing);
         let mut answer = Vec::new();
-        while let Some(piece) = connection.read_body(&mut state).await? {
-            if answer.len() + piece.len() > BODY_LIMIT {
+        while let Some(chunk) = connection.read_body(&mut state).await? {
+            if answer.len() + chunk.len() > BODY_LIMIT {
                 return Err(HttpError::BadFraming("the answer is too large"));
             }
-            answer.extend_from_slice(&piece);
+            answer.extend_from_slice(&chunk);
         }
         Ok((head.status, answer))
     }
--- a/crates/galenapath-ctl/src/error.rs
+++ b/crates/galenapath-ctl/src/error.rs
@@ -14,9 +14,9 @@
     Usage = 2,
     /// The class was changed meanwhile.
     Conflict = 3,
-    /// The token was refused.
+    /// The token was rejected.
     Unauthorized = 4,
-    /// Not accepted; may be tried again.
+    /// Not accepted; may be retried.
     Unavailable = 5,
     /// May have been accepted.
     Unknown = 6,
@@ -30,13 +30,13 @@
     }
 }
 
-/// Why a command failed. The text says what to do.
+/// Why a command failed. The message also says what the operator can do.
 #[derive(Debug, Error)]
 pub enum CtlError {
-    /// No `--instance`.
-    #[error("name an entry instance: --instance ADDR, its operators' address")]
+    /// `--instance` is missing.
+    #[error("no entry instance given: use --instance ADDR with its operators' address")]
     NoInstance,
-    /// No connection.
+    /// No connection could be established.
     #[error("cannot connect to {address}: {reason}; nothing was sent, try another instance")]
     Unreachable {
         /// The instance.
@@ -60,18 +60,18 @@
         /// Why.
         reason: String,
     },
-    /// No log line about a request.
+    /// The logs have no line about the request.
     #[error(
-        "no line about request {id}: it never arrived, or its line was left out under load \
-         (galenapath_log_left_out_total says how many were)"
+        "no log line about request {id}: it never arrived, or its line was left out under load \
+         (galenapath_log_left_out_total counts the lines left out)"
     )]
-    NotInLogs {
+    RequestNotLogged {
         /// The request.
         id: String,
     },
-    /// The instance turned the call away.
+    /// The instance answered the call with an error.
     #[error("{}", .0.message)]
-    Refused(ErrorWire),
+    ErrorAnswer(ErrorWire),
     /// A change may have been accepted.
     #[error(
         "{reason}; the change may have been accepted: run the same command with \
@@ -82,7 +82,7 @@
         reason: String,
         /// Identifier of the change.
         id: String,
-        /// Revision that it builds on.
+        /// Revision of the class that it is based on.
         base: u64,
     },
     /// There is no such class.
@@ -96,7 +96,7 @@
         /// Why.
         reason: String,
     },
-    /// Settings that cannot be used.
+    /// The settings are not valid.
     #[error("{0}")]
     Settings(String),
     /// The output cannot be written.
@@ -113,23 +113,23 @@
             | Self::BadAnswer { .. }
             | Self::Output(_) => ExitStatus::Failed,
             Self::NoInstance | Self::File { .. } | Self::Settings(_) => ExitStatus::Usage,
-            Self::NoSuchClass(_) | Self::NotInLogs { .. } => ExitStatus::NotFound,
+            Self::NoSuchClass(_) | Self::RequestNotLogged { .. } => ExitStatus::NotFound,
             Self::Unknown { .. } => ExitStatus::Unknown,
-            Self::Refused(wire) => refused(wire),
+            Self::ErrorAnswer(wire) => error_status(wire),
         }
     }
 
-    /// Whether a change that failed so may have been accepted.
+    /// Whether a change that failed with this error may have been accepted.
     pub(crate) fn may_have_run(&self) -> bool {
         match self {
             Self::NoAnswer { .. } | Self::BadAnswer { .. } => true,
-            Self::Refused(wire) => wire.verdict == VerdictWire::MayHaveRun,
+            Self::ErrorAnswer(wire) => wire.verdict == VerdictWire::MayHaveRun,
             _ => false,
         }
     }
 }
 
-fn refused(wire: &ErrorWire) -> ExitStatus {
+fn error_status(wire: &ErrorWire) -> ExitStatus {
     match wire.code {
         ErrorCodeWire::Invalid => ExitStatus::Usage,
         ErrorCodeWire::Unauthorized => ExitStatus::Unauthorized,
--- a/crates/galenapath-ctl/src/lib.rs
+++ b/crates/galenapath-ctl/src/lib.rs
@@ -1,4 +1,5 @@
-//! The operators' command line: reads its arguments, asks an entry instance, prints the answer.
+//! The operators' command line `galenactl`: parses the arguments, runs a command against an entry
+//! instance or on local files, and prints the result.
 
 pub mod causes;
 mod classes;
--- a/crates/galenapath-ctl/src/options.rs
+++ b/crates/galenapath-ctl/src/options.rs
@@ -1,4 +1,4 @@
-//! Arguments of `galenactl`.
+//! Command-line arguments of `galenactl`.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::net::SocketAddr;
@@ -10,8 +10,8 @@
   0  done
   1  the instance cannot be reached, or its answer cannot be read
   2  wrong arguments, a field that cannot be accepted, or settings that cannot be used
-  3  conflict: the class was changed meanwhile; look at it and decide again
-  4  the token was refused
+  3  conflict: the class was changed meanwhile; check it and decide again
+  4  the token was rejected
   5  not accepted, the store cannot be used now; run the command again later
   6  may have been accepted; run the command again with the --id and --base it printed
   7  no such class or request";
@@ -31,43 +31,43 @@
     /// File whose first line is the operators' token; needed for changes
     #[arg(long, global = true, value_name = "FILE")]
     pub token_file: Option<PathBuf>,
-    /// Form of the output
+    /// Output format
     #[arg(long, global = true, value_enum, default_value_t = OutputFormat::Table)]
     pub output: OutputFormat,
-    /// Longest wait for an answer, in seconds
+    /// Maximum time to wait for an answer, in seconds
     #[arg(long, global = true, value_name = "SECONDS", default_value_t = 15)]
     pub timeout: u64,
-    /// What to do
+    /// The command
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// Form of the output.
+/// Output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum OutputFormat {
-    /// Columns for people.
+    /// Table for people.
     Table,
     /// One JSON document, as the instance sent it.
     Json,
 }
 
-/// What to do.
+/// A command.
 #[derive(Subcommand)]
 pub enum Command {
     /// Create, list and change classes of work
     #[command(subcommand)]
     Class(ClassCommand),
-    /// Show what an instance knows of itself, its peers and the store
+    /// Show the state of an instance, its peers and the store
     #[command(after_help = "Example:\n  galenactl --instance 10.0.0.1:7003 status")]
     Status,
-    /// List accepted changes: who, when, id, from, to
+    /// List accepted changes: version, time, author, id, old and new target
     #[command(after_help = "Example:\n  galenactl --instance 10.0.0.1:7003 audit --after 40")]
     Audit {
         /// Only changes after this version
         #[arg(long, default_value_t = 0)]
         after: u64,
     },
-    /// Tell what happened to one request and why
+    /// Explain what happened to one request and why
     #[command(after_help = "Example:\n  galenactl --instance 10.0.0.1:7003 explain \
                             4f1c0a9be2d37761-2a\n\nAsk the instance that served the request; the \
                             id is in the answer's galenapath-request-id header.")]
@@ -76,10 +76,10 @@
         #[arg(value_name = "REQUEST-ID")]
         id: String,
     },
-    /// Tell from gateways' logs what happened to one request and why
+    /// Show from gateways' logs what happened to one request and why
     #[command(
         after_help = "Example:\n  galenactl trace e05ecc7ac7538d56 logs/*\n\nGive the logs of \
-                            all instances: a caller may have come back to another one."
+                            all instances: a caller may have retried at another one."
     )]
     Trace {
         /// Identifier that the caller gave the request
@@ -89,13 +89,13 @@
         #[arg(required = true, value_name = "FILE")]
         logs: Vec<PathBuf>,
     },
-    /// Count in gateways' logs why requests were late, refused or failed
+    /// Count in gateways' logs why requests were late, rejected or failed
     #[command(
         after_help = "Example:\n  galenactl causes logs/*\n\nGive the logs of all instances. \
                             Follow one request with `galenactl trace`."
     )]
     Causes {
-        /// Length of the windows by which requests are counted, in seconds
+        /// Length of the time windows by which requests are counted, in seconds
         #[arg(long, value_name = "SECONDS", default_value_t = 2)]
         window: u32,
         /// Files with the instances' standard output
@@ -107,7 +107,7 @@
     Settings(SettingsCommand),
 }
 
-/// What to do with classes.
+/// A command on classes.
 #[derive(Subcommand)]
 pub enum ClassCommand {
     /// Create a class
@@ -128,7 +128,7 @@
     Remove(RemoveClass),
 }
 
-/// What to do with settings.
+/// A command on settings files.
 #[derive(Subcommand)]
 pub enum SettingsCommand {
     /// Check a settings file of an entry instance
@@ -150,16 +150,16 @@
     /// What its requests do
     #[arg(long, value_enum)]
     pub kind: Kind,
-    /// Path that the requests lie at or below
+    /// Path prefix of its requests
     #[arg(long, value_name = "PREFIX", default_value = "/")]
     pub path: String,
-    /// Method that belongs to it; may be repeated, all where left out
+    /// HTTP method of its requests; may be repeated; all methods if omitted
     #[arg(long = "method", value_name = "METHOD")]
     pub methods: Vec<String>,
     /// Its target
     #[command(flatten)]
     pub target: TargetArgs,
-    /// How the change is told apart
+    /// Identity of the change
     #[command(flatten)]
     pub change: ChangeArgs,
 }
@@ -172,7 +172,7 @@
     /// The new target
     #[command(flatten)]
     pub target: TargetArgs,
-    /// How the change is told apart
+    /// Identity of the change
     #[command(flatten)]
     pub change: ChangeArgs,
 }
@@ -182,12 +182,12 @@
 pub struct RemoveClass {
     /// Name of the class
     pub name: String,
-    /// How the change is told apart
+    /// Identity of the change
     #[command(flatten)]
     pub change: ChangeArgs,
 }
 
-/// A target.
+/// Arguments of a latency target.
 #[derive(Args)]
 pub struct TargetArgs {
     /// Latency in milliseconds
@@ -198,16 +198,16 @@
     pub share: f64,
 }
 
-/// How a change is told apart from others.
+/// Identity and author of a change.
 #[derive(Args)]
 pub struct ChangeArgs {
-    /// Identifier of the change, only to send one again; chosen at random where left out
+    /// Identifier of the change, only needed to retry one; random if omitted
     #[arg(long, requires = "base")]
     pub id: Option<String>,
-    /// Revision of the class that the change builds on; the newest where left out
+    /// Revision of the class that the change is based on; the newest if omitted
     #[arg(long)]
     pub base: Option<u64>,
-    /// Name for the audit trail; the user's login name where left out
+    /// Author for the audit trail; the user's login name if omitted
     #[arg(long)]
     pub author: Option<String>,
 }
--- a/crates/galenapath-ctl/src/output.rs
+++ b/crates/galenapath-ctl/src/output.rs
@@ -1,10 +1,10 @@
-//! Tables and documents on standard output.
+//! Output of tables and JSON documents on standard output.
 
 use crate::{CtlError, OutputFormat};
 use serde::Serialize;
 use std::io::Write;
 
-/// Columns of text under headings.
+/// A table of text columns; the first row holds the headings.
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
@@ -14,11 +14,11 @@
         Self { rows: vec![headings.iter().map(|heading| (*heading).to_owned()).collect()] }
     }
 
-    pub(crate) fn row(&mut self, cells: Vec<String>) {
+    pub(crate) fn push_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 
-    fn text(&self) -> String {
+    fn render(&self) -> String {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         let width = |column| {
             let cells = self.rows.iter().filter_map(|row: &Vec<String>| row.get(column));
@@ -36,19 +36,19 @@
     }
 }
 
-/// Prints a document, or the table made of it.
+/// Prints `document` as JSON or as the table that `table` makes of it.
 pub(crate) fn print<T: Serialize>(
     format: OutputFormat,
     document: &T,
     table: impl FnOnce(&T) -> Table,
 ) -> Result<(), CtlError> {
     let text = match format {
-        OutputFormat::Table => table(document).text(),
+        OutputFormat::Table => table(document).render(),
         OutputFormat::Json => {
             let text = serde_json::to_string_pretty(document);
             text.map_err(|e| CtlError::Output(e.to_string()))? + "\n"
         }
     };
-    let written = std::io::stdout().write_all(text.as_bytes());
-    written.map_err(|e| CtlError::Output(e.to_string()))
+    let result = std::io::stdout().write_all(text.as_bytes());
+    result.map_err(|e| CtlError::Output(e.to_string()))
 }
--- a/crates/galenapath-ctl/src/reports.rs
+++ b/crates/galenapath-ctl/src/reports.rs
@@ -1,4 +1,4 @@
-//! `galenactl status`, `audit` and `explain`.
+//! The commands `galenactl status`, `audit` and `explain`.
 
 use crate::client::Client;
 use crate::output::{Table, print};
@@ -10,7 +10,7 @@
     print(format, &status, status_table)
 }
 
-/// Reads the whole trail, page by page.
+/// Reads the audit trail from `after` to its end, page by page.
 pub(crate) async fn audit(
     client: &Client,
     format: OutputFormat,
@@ -38,7 +38,7 @@
     print(format, &explain, explain_table)
 }
 
-/// Percent-encodes what would end the path or break the request line.
+/// Percent-encodes the bytes that could end the path or break the request line.
 fn escape(id: &str) -> String {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
     let encode = |b: u8| match plain(b) {
@@ -51,7 +51,7 @@
 fn status_table(status: &StatusWire) -> Table {
     let store = &status.store;
     let mut table = Table::new(&["FIELD", "VALUE"]);
-    let mut row = |field: &str, value: String| table.row(vec![field.to_owned(), value]);
+    let mut row = |field: &str, value: String| table.push_row(vec![field.to_owned(), value]);
     row("instance", status.instance.clone());
     row("domain", status.domain.clone());
     row("incarnation", status.incarnation.clone());
@@ -63,7 +63,7 @@
     row("store calls", format!("{} reads, {} writes", store.reads, store.writes));
     row("store failures", store.failures.to_string());
     for peer in &status.peers {
-        let value = format!("version {}, told {} ms ago", peer.version, peer.age_ms);
+        let value = format!("version {}, reported {} ms ago", peer.version, peer.age_ms);
         row(&format!("peer {}", peer.name), value);
     }
     table
@@ -72,7 +72,7 @@
 fn audit_table(audit: &AuditWire) -> Table {
     let mut table = Table::new(&["VERSION", "AT-UNIX-MS", "AUTHOR", "ID", "CLASS", "FROM", "TO"]);
     for record in &audit.records {
-        table.row(vec![
+        table.push_row(vec![
             record.version.to_string(),
             record.at_unix_ms.to_string(),
             record.author.clone(),
@@ -99,7 +99,7 @@
 
 fn explain_table(explain: &ExplainWire) -> Table {
     let mut table = Table::new(&["FIELD", "VALUE"]);
-    let mut row = |field: &str, value: String| table.row(vec![field.to_owned(), value]);
+    let mut row = |field: &str, value: String| table.push_row(vec![field.to_owned(), value]);
     row("request", explain.id.clone());
     row("class", explain.class.clone().unwrap_or_else(|| "-".to_owned()));
     row("workspace", explain.workspace.clone().unwrap_or_else(|| "-".to_owned()));
--- a/crates/galenapath-ctl/src/run.rs
+++ b/crates/galenapath-ctl/src/run.rs
@@ -1,4 +1,4 @@
-//! Running one command.
+//! Runs one command.
 
 use crate::client::Client;
 use crate::options::{Command, Options, SettingsCommand};
@@ -11,9 +11,9 @@
 ///
 /// # Errors
 ///
-/// Whatever kept the command from being done; its `status` is the exit code.
+/// Returns the reason why the command failed; its [`status`](CtlError::status) is the exit code.
 pub fn run(options: Options) -> Result<(), CtlError> {
-    let failed = |e: std::io::Error| CtlError::Output(format!("no runtime: {e}"));
+    let no_runtime = |e: std::io::Error| CtlError::Output(format!("cannot start the runtime: {e}"));
     if let Command::Settings(SettingsCommand::Check { file }) = &options.command {
         return settings::check(file);
     }
@@ -27,11 +27,11 @@
     let token = options.token_file.as_deref().map(read_token).transpose()?;
     let client = Client::new(address, token, Duration::from_secs(options.timeout));
     let mut runtime =
-        RuntimeBuilder::<LegacyDriver>::new().enable_timer().build().map_err(failed)?;
-    runtime.block_on(ask(&client, options))
+        RuntimeBuilder::<LegacyDriver>::new().enable_timer().build().map_err(no_runtime)?;
+    runtime.block_on(run_on_instance(&client, options))
 }
 
-async fn ask(client: &Client, options: Options) -> Result<(), CtlError> {
+async fn run_on_instance(client: &Client, options: Options) -> Result<(), CtlError> {
     let format = options.output;
     match options.command {
         Command::Class(command) => classes::run(client, format, command).await,
--- a/crates/galenapath-ctl/src/settings.rs
+++ b/crates/galenapath-ctl/src/settings.rs
@@ -1,4 +1,4 @@
-//! `galenactl settings check`.
+//! The command `galenactl settings check`.
 
 use crate::CtlError;
 use std::path::Path;
--- a/crates/galenapath-ctl/src/trace/find.rs
+++ b/crates/galenapath-ctl/src/trace/find.rs
@@ -1,47 +1,49 @@
-//! Finding the lines that explain a request.
+//! Finds the log lines that explain the outcome of a request.
 
-use super::line::LogLine;
+use super::log_line::LogLine;
 use super::step::Step;
 use serde::Serialize;
 
-/// Seconds before the end of a request from which on what an instance believed is shown: longer than
-/// any request lasts.
-const BEFORE: f64 = 10.0;
+/// How long before the end of a request other log lines are included, in seconds. Longer than any
+/// request lasts.
+const LOOKBACK_S: f64 = 10.0;
 
-/// Seconds after it: what an instance learns late explains the request as well.
-const AFTER: f64 = 3.0;
+/// How long after the end of a request other log lines are included, in seconds. An event that an
+/// instance logged after the request can explain it as well.
+const LOOKAHEAD_S: f64 = 3.0;
 
-/// Starts of the events that tell of a change by the operator.
+/// Prefixes of the events that log a change made by an operator.
 const OPERATOR_EVENTS: [&str; 2] = ["configuration", "failure domain"];
 
-/// What the logs tell of one request.
+/// The log lines about one request.
 #[derive(Clone, Debug, Serialize)]
 pub struct Trace {
-    /// The request's own lines, one for each instance that saw it.
+    /// The log lines of the request itself, one for each instance that processed it.
     pub requests: Vec<LogLine>,
-    /// What was believed of its servers around that time, and what the operator changed.
-    pub beliefs: Vec<Belief>,
+    /// Events about its servers and changes by operators around that time, oldest first.
+    #[serde(rename = "beliefs")]
+    pub events: Vec<EventGroup>,
 }
 
-/// What instances came to believe.
+/// One event as logged by one or more instances.
 #[derive(Clone, Debug, Serialize)]
-pub struct Belief {
-    /// The line of the first instance.
+pub struct EventGroup {
+    /// The earliest of the log lines.
     pub first: LogLine,
-    /// Instances that have such a line.
+    /// Number of log lines of this event.
     pub instances: usize,
-    /// Seconds from the first of these lines to the last.
+    /// Seconds from the earliest of these lines to the latest.
     pub within: f64,
 }
 
-impl Belief {
-    /// Whether `line` says the same; when and from whom it was learned may differ.
-    fn is_told_by(&self, line: &LogLine) -> bool {
+impl EventGroup {
+    /// Whether `line` logs the same event. The time and the source of the information may differ.
+    fn has_same_content(&self, line: &LogLine) -> bool {
         let without_source = |line: &LogLine| {
-            let mut rest = line.rest.clone();
-            rest.remove("source");
-            rest.remove("told_by");
-            rest
+            let mut fields = line.rest.clone();
+            fields.remove("source");
+            fields.remove("told_by");
+            fields
         };
         self.first.event == line.event
             && self.first.server == line.server
@@ -49,64 +51,67 @@
     }
 }
 
-/// A search for what explains a request.
+/// Selects the log lines that are related to a request.
 #[derive(Clone, Debug)]
 pub(super) struct Search {
     /// Invariant: not empty.
     requests: Vec<LogLine>,
-    /// Servers that it was sent to.
+    /// Servers that the steps of the request name.
     servers: Vec<String>,
-    /// First and last moment of the lines that explain it.
-    from: f64,
-    to: f64,
+    /// Start of the time range of related lines, in seconds since the epoch.
+    from_s: f64,
+    /// End of the time range.
+    to_s: f64,
 }
 
 impl Search {
-    /// A search for what explains the request that `requests` tell of; `None` where there are none.
+    /// Creates a search from the log lines of a request. Returns `None` if there are no such lines.
     pub(super) fn new(requests: Vec<LogLine>) -> Option<Self> {
         let first = requests.first()?.t;
         let last = requests.iter().map(|line| line.t).fold(first, f64::max);
         let servers = servers(&requests);
-        Some(Self { requests, servers, from: first - BEFORE, to: last + AFTER })
+        Some(Self { requests, servers, from_s: first - LOOKBACK_S, to_s: last + LOOKAHEAD_S })
     }
 
-    /// Whether a line tells of the request's servers, or of what the operator wanted at its time.
-    pub(super) fn explains(&self, line: &LogLine) -> bool {
+    /// Whether a line from the time of the request is about one of its servers or a change by an
+    /// operator.
+    pub(super) fn is_related(&self, line: &LogLine) -> bool {
         let is_server = line.server.as_ref().is_some_and(|server| self.servers.contains(server));
-        let is_belief = line.request.is_none();
+        let is_other_event = line.request.is_none();
         let is_operator = OPERATOR_EVENTS.iter().any(|start| line.event.starts_with(start));
-        let is_then = line.t >= self.from && line.t <= self.to;
-        is_belief && is_then && (is_server || is_operator)
+        let is_in_range = line.t >= self.from_s && line.t <= self.to_s;
+        is_other_event && is_in_range && (is_server || is_operator)
     }
 
-    /// What was found, with the lines that explain it.
-    pub(super) fn found(self, mut beliefs: Vec<LogLine>) -> Trace {
-        beliefs.sort_by(|a, b| a.t.total_cmp(&b.t));
-        Trace { requests: self.requests, beliefs: joined(beliefs) }
+    /// Combines the lines of the request with the related lines.
+    pub(super) fn into_trace(self, mut events: Vec<LogLine>) -> Trace {
+        events.sort_by(|a, b| a.t.total_cmp(&b.t));
+        Trace { requests: self.requests, events: group_events(events) }
     }
 }
 
-/// Finds what `lines` tell of the request `id`; `None` where it has no line.
+/// Finds the lines about the request `id` and those related to it. Returns `None` if the request
+/// has no line.
 pub fn trace(lines: &[LogLine], id: &str) -> Option<Trace> {
     let is_own = |line: &&LogLine| line.request.as_deref() == Some(id);
     let search = Search::new(lines.iter().filter(is_own).cloned().collect())?;
-    let beliefs = lines.iter().filter(|line| search.explains(line)).cloned().collect();
-    Some(search.found(beliefs))
+    let events = lines.iter().filter(|line| search.is_related(line)).cloned().collect();
+    Some(search.into_trace(events))
 }
 
-/// One belief for all instances that came to the same.
-fn joined(lines: Vec<LogLine>) -> Vec<Belief> {
-    let mut beliefs: Vec<Belief> = Vec::new();
+/// Groups lines of different instances that log the same event.
+fn group_events(lines: Vec<LogLine>) -> Vec<EventGroup> {
+    let mut groups: Vec<EventGroup> = Vec::new();
     for line in lines {
-        match beliefs.iter_mut().find(|belief| belief.is_told_by(&line)) {
-            Some(belief) => {
-                belief.instances += 1;
-                belief.within = line.t - belief.first.t;
+        match groups.iter_mut().find(|group| group.has_same_content(&line)) {
+            Some(group) => {
+                group.instances += 1;
+                group.within = line.t - group.first.t;
             }
-            None => beliefs.push(Belief { first: line, instances: 1, within: 0.0 }),
+            None => groups.push(EventGroup { first: line, instances: 1, within: 0.0 }),
         }
     }
-    beliefs
+    groups
 }
 
 fn servers(requests: &[LogLine]) -> Vec<String> {
--- a/crates/galenapath-ctl/src/trace/line.rs
+++ b/crates/galenapath-ctl/src/trace/log_line.rs
@@ -1,12 +1,12 @@
-//! One line of an instance's log.
+//! Log lines of gateway instances.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// One line. Every event has the first two fields; the others stand where the event has them.
+/// One log line. Every line has the first two fields; the others depend on the event.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LogLine {
-    /// Seconds since the epoch by the instance's time of day.
+    /// Seconds since the epoch, by the wall clock of the instance.
     pub t: f64,
     /// What happened.
     pub event: String,
@@ -16,7 +16,7 @@
     /// Identity of the backend server.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub server: Option<String>,
-    /// What happened to the request, in order; [`Step`](super::Step)s with spaces between them.
+    /// Processing steps of the request in order: [`Step`](super::Step)s separated by spaces.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub steps: Option<String>,
     /// All other fields.
@@ -25,12 +25,12 @@
 }
 
 impl LogLine {
-    /// Reads a line; `None` for one that is no log line of an instance.
+    /// Parses a line. Returns `None` if it is not a log line of an instance.
     pub fn parse(text: &str) -> Option<Self> {
         serde_json::from_str(text.trim()).ok()
     }
 
-    /// The other fields as `name=value` texts.
+    /// Formats the fields in `rest` other than the log level as `name=value`.
     pub fn fields(&self) -> Vec<String> {
         let shown = self.rest.iter().filter(|(name, _)| name.as_str() != "level");
         shown
--- a/crates/galenapath-ctl/src/trace/mod.rs
+++ b/crates/galenapath-ctl/src/trace/mod.rs
@@ -1,11 +1,11 @@
-//! Following one request through the logs of gateway instances.
+//! Traces one request through the logs of gateway instances.
 
 mod find;
-mod line;
+mod log_line;
 mod report;
 mod step;
 
-pub use find::{Belief, Trace, trace};
-pub use line::LogLine;
+pub use find::{EventGroup, Trace, trace};
+pub use log_line::LogLine;
 pub(crate) use report::run;
 pub use step::Step;
--- a/crates/galenapath-ctl/src/trace/step.rs
+++ b/crates/galenapath-ctl/src/trace/step.rs
@@ -1,72 +1,73 @@
-//! What a request's steps say, in words.
+//! Processing steps of a request, as logged, and their description for people.
 
 use std::fmt;
 
-/// One step of a request, as its log line has it.
+/// One processing step from the log line of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Something at a server.
+    /// An event at a server.
     AtServer {
         /// The server's identity.
         server: String,
-        /// What was done or how it ended.
-        what: String,
-        /// Load, pace and age of what was known, or the time that it took.
+        /// What was done at the server or how the attempt ended.
+        event: String,
+        /// For a send, the load, pace and age of the last load observation; otherwise the time
+        /// taken.
         detail: String,
     },
-    /// A wait was predicted to be too long.
-    Refused {
+    /// The request was rejected because its predicted wait was too long.
+    Rejected {
         /// The predicted wait, such as `309ms`.
-        predicted: String,
+        predicted_wait: String,
     },
-    /// Anything else, such as `copy` or `silent`.
-    Word(String),
+    /// Any other step, such as `copy` or `silent`.
+    Other(String),
 }
 
 impl Step {
-    /// Reads all steps of a line.
+    /// Parses the steps of a line, which are separated by spaces.
     pub fn parse_all(text: &str) -> Vec<Self> {
         text.split_whitespace().map(Self::parse).collect()
     }
 
     fn parse(text: &str) -> Self {
-        if let Some(predicted) = text.strip_prefix("refused:predicted") {
-            return Self::Refused { predicted: predicted.to_owned() };
+        if let Some(predicted_wait) = text.strip_prefix("refused:predicted") {
+            return Self::Rejected { predicted_wait: predicted_wait.to_owned() };
         }
         let mut parts = text.splitn(3, ':');
         match (parts.next(), parts.next(), parts.next()) {
-            (Some(server), Some(what), detail) => Self::AtServer {
+            (Some(server), Some(event), detail) => Self::AtServer {
                 server: server.to_owned(),
-                what: what.to_owned(),
+                event: event.to_owned(),
                 detail: detail.unwrap_or_default().to_owned(),
             },
-            _ => Self::Word(text.to_owned()),
+            _ => Self::Other(text.to_owned()),
         }
     }
 
-    /// The server that the step is about.
+    /// The server at which the step took place, if any.
     pub fn server(&self) -> Option<&str> {
         match self {
             Self::AtServer { server, .. } => Some(server),
-            Self::Refused { .. } | Self::Word(_) => None,
+            Self::Rejected { .. } | Self::Other(_) => None,
         }
     }
 }
 
-/// What an outcome at a server means.
-fn meaning(what: &str) -> &str {
-    match what {
+/// Describes an event at a server. Returns an empty string for an unknown event.
+fn meaning(event: &str) -> &str {
+    match event {
         "sent" => "sent there",
         "answered" => "answered",
-        "server_error" => "answered with an error of its own",
-        "unfit" => "slow, full or silent when it was asked; nothing was sent",
-        "not_asked" => "no more questions to it were left; nothing was sent",
+        "server_error" => "answered with its own error",
+        "unfit" => "slow, full or silent when queried; nothing was sent",
+        "not_asked" => "load query budget spent; nothing was sent",
         "unreachable" => "no connection; nothing was sent",
-        "refused" => "said that it did not run the request",
+        "refused" => "reported that it did not run the request",
         "other_server" => "another server has the address and did not run the request",
         "broken" => "the connection broke after the request was sent",
         "unsigned" | "unidentified" | "foreign" | "not_http" | "encoded" | "bad_framing"
-        | "unproven_refusal" => "its answer could not be passed on",
+        | "unproven_refusal" => "its answer could not be forwarded",
         _ => "",
     }
 }
@@ -74,23 +75,23 @@
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::AtServer { server, what, detail } => {
-                let meaning = meaning(what);
-                let meaning = if meaning.is_empty() { what } else { meaning };
+            Self::AtServer { server, event, detail } => {
+                let meaning = meaning(event);
+                let meaning = if meaning.is_empty() { event } else { meaning };
                 write!(f, "{server}: {meaning}")?;
-                if detail.is_empty() { Ok(()) } else { write!(f, " ({what}:{detail})") }
+                if detail.is_empty() { Ok(()) } else { write!(f, " ({event}:{detail})") }
             }
-            Self::Refused { predicted } => {
-                write!(f, "refused: its wait was predicted to last {predicted}")
+            Self::Rejected { predicted_wait } => {
+                write!(f, "rejected: its wait was predicted to last {predicted_wait}")
             }
-            Self::Word(word) => match word.as_str() {
-                "copy" => write!(f, "a second copy went out"),
+            Self::Other(word) => match word.as_str() {
+                "copy" => write!(f, "hedged request sent"),
                 "withdrawn" => write!(f, "most servers were in evacuated failure domains"),
-                "cold" => write!(f, "most servers were cold"),
-                "limited" => write!(f, "most servers named a rate limit"),
-                "paused" => write!(f, "most servers wanted nothing from the instance"),
-                "silent" => write!(f, "no answer after three times the usual"),
-                "retry_budget_spent" => write!(f, "the retry budget was spent: not sent again"),
+                "cold" => write!(f, "most servers were warming up"),
+                "limited" => write!(f, "most servers had stated a rate limit"),
+                "paused" => write!(f, "most servers had paused requests from the instance"),
+                "silent" => write!(f, "no answer after three times the usual time"),
+                "retry_budget_spent" => write!(f, "retry budget spent; not retried"),
                 other => write!(f, "{other}"),
             },
         }
--- a/crates/galenapath-ctl/tests/causes.rs
+++ b/crates/galenapath-ctl/tests/causes.rs
@@ -1,8 +1,8 @@
-//! Why requests were late, refused or failed, from log lines.
+//! Tests of the causes of late, rejected and failed requests, from log lines.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use galenapath_ctl::causes::{Cause, Counter, Ended, causes};
+use galenapath_ctl::causes::{Cause, Counter, RequestEnd, count_causes};
 use galenapath_ctl::trace::LogLine;
 use serde_json::json;
 
@@ -35,13 +35,13 @@
 }
 
 fn cause(end: &End) -> Cause {
-    let ended = Ended::read(&line(1.0, end)).unwrap();
-    assert!(!ended.is_good());
-    Cause::of(&ended)
+    let ended = RequestEnd::parse(&line(1.0, end)).unwrap();
+    assert!(!ended.is_in_target());
+    Cause::classify(&ended)
 }
 
 #[test]
-fn cause_of_refused_and_failed() {
+fn classify_rejected_and_failed() {
     let lost =
         |status, outcome, target_ms| cause(&End { status, outcome, target_ms, steps: "", ..GOOD });
     assert_eq!(lost(503, "no_room", 400), Cause::NoRoom);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn cause_of_shortage() {
+fn classify_shortage() {
     let lost = |outcome, steps| cause(&End { status: 503, outcome, steps, ..GOOD });
     assert_eq!(lost("no_server", "withdrawn"), Cause::Evacuated);
     assert_eq!(lost("no_room", "withdrawn refused:predicted309ms"), Cause::Evacuated);
@@ -63,12 +63,12 @@
 }
 
 #[test]
-fn cause_of_late() {
+fn classify_late() {
     let late = |took_ms, waited_ms, steps| cause(&End { took_ms, waited_ms, steps, ..GOOD });
     let last = "i-1:sent:load2/3:pace100:known0ms i-1:answered:430ms";
     assert_eq!(late(430, 0, last), Cause::LastSlot);
     assert_eq!(late(430, 60, last), Cause::Waited);
-    // The wait alone did not make it late.
+    // The wait alone did not exceed the target.
     assert_eq!(late(430, 10, last), Cause::LastSlot);
     let slow = "i-1:sent:load0/3:pace400:known90ms i-1:answered:640ms";
     assert_eq!(late(640, 0, slow), Cause::SlowServer);
@@ -76,16 +76,16 @@
     assert_eq!(late(450, 0, work), Cause::Work);
     let over = "i-0:unfit:90ms i-1:sent:load0/3:pace100:known2ms i-1:answered:350ms";
     assert_eq!(late(440, 0, over), Cause::PassedOver);
-    let copy = "i-0:sent:load0/3:pace100:known2ms copy i-1:sent:load1/3:pace100:known1ms \
+    let hedged = "i-0:sent:load0/3:pace100:known2ms copy i-1:sent:load1/3:pace100:known1ms \
                 i-1:answered:150ms";
-    assert_eq!(late(450, 0, copy), Cause::SentAgain);
-    let came = End { target_ms: 0, ..GOOD };
-    assert_eq!(cause(&came), Cause::CameLate);
+    assert_eq!(late(450, 0, hedged), Cause::SentAgain);
+    let arrived_late = End { target_ms: 0, ..GOOD };
+    assert_eq!(cause(&arrived_late), Cause::CameLate);
     assert_eq!(late(450, 0, ""), Cause::Unknown);
 }
 
 #[test]
-fn causes_counted_by_service_and_window() {
+fn count_causes_by_service_and_window() {
     let refused = End { status: 503, outcome: "no_room", steps: "", ..GOOD };
     let late = End { took_ms: 450, ..GOOD };
     let mut lines = vec![line(10.0, &GOOD), line(10.5, &refused), line(13.0, &late)];
@@ -94,7 +94,7 @@
     lines.push(
         LogLine::parse(r#"{"t":10,"event":"request ended","request":"half a line"}"#).unwrap(),
     );
-    let found = causes(&lines, 2.0);
+    let found = count_causes(&lines, 2.0);
     assert_eq!((found.ended, found.left_out), (4, 3));
     let counts: Vec<_> = found.causes.iter().map(|count| (count.cause, count.count)).collect();
     assert_eq!(counts, [(Cause::Work, 2), (Cause::NoRoom, 1)]);
@@ -106,11 +106,11 @@
 }
 
 #[test]
-fn counter_first_is_the_earliest_whatever_the_order_of_the_logs() {
+fn counter_unordered_logs_first_is_earliest() {
     let refused = End { status: 503, outcome: "no_room", steps: "", ..GOOD };
     let mut counter = Counter::new(2.0);
     for t in [30.0, 12.0, 21.0] {
-        counter.take(&line(t, &refused));
+        counter.record_line(&line(t, &refused));
     }
     let found = counter.finish();
     assert_eq!((found.causes[0].count, found.causes[0].first.as_str()), (3, "r12"));
--- a/crates/galenapath-ctl/tests/trace.rs
+++ b/crates/galenapath-ctl/tests/trace.rs
@@ -1,4 +1,4 @@
-//! Following a request through logs.
+//! Tests of tracing a request through logs.
 
 use galenapath_ctl::trace::{LogLine, Step, trace};
 
@@ -22,9 +22,9 @@
 }
 
 #[test]
-fn trace_shows_what_was_believed_of_its_server() {
-    let found = trace(&lines(), "a1").map(|trace| trace.beliefs).unwrap_or_default();
-    let events: Vec<&str> = found.iter().map(|belief| belief.first.event.as_str()).collect();
+fn trace_includes_events_of_its_server() {
+    let found = trace(&lines(), "a1").map(|trace| trace.events).unwrap_or_default();
+    let events: Vec<&str> = found.iter().map(|group| group.first.event.as_str()).collect();
     let expected = [
         "server listed",
         "configuration in force",
@@ -33,9 +33,12 @@
         "server out of reach",
     ];
     assert_eq!(events, expected);
-    assert_eq!(found[1].instances, 2, "two instances took the same version");
+    assert_eq!(found[1].instances, 2, "two instances applied the same version");
     assert!((found[1].within - 0.15).abs() < 1e-6);
-    assert_eq!(found[3].instances, 2, "the server told one instance, which told the other");
+    assert_eq!(
+        found[3].instances, 2,
+        "one instance learned it from the server, the other from a peer"
+    );
 }
 
 #[test]
@@ -44,12 +47,12 @@
 }
 
 #[test]
-fn parse_steps_in_words() {
+fn step_display_describes_events() {
     let text = "i-1:unfit:3ms i-2:sent:load2/6:pace100:known1ms copy refused:predicted309ms silent";
     let words: Vec<String> = Step::parse_all(text).iter().map(ToString::to_string).collect();
     assert!(words[0].contains("nothing was sent"), "{words:?}");
     assert_eq!(words[1], "i-2: sent there (sent:load2/6:pace100:known1ms)");
-    assert_eq!(words[2], "a second copy went out");
+    assert_eq!(words[2], "hedged request sent");
     assert!(words[3].ends_with("309ms"), "{words:?}");
     assert!(words[4].starts_with("no answer"), "{words:?}");
 }
