--- a/crates/galenapath-codegen/examples/codegen.rs
+++ b/crates/galenapath-codegen/examples/codegen.rs
@@ -1,18 +1,18 @@
 //! Generates the Rust types of the JSON schemas under `schema/`.
 //!
-//! `cargo run -p galenapath-codegen --example codegen` writes them; with `--check` it only compares,
-//! and exits 1 when a committed file is not current.
+//! `cargo run -p galenapath-codegen --example codegen` writes the files. With `--check` it only
+//! compares them and exits with 1 if a committed file is out of date.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// A schema and the file generated from it, both relative to the root of the workspace.
+/// A schema and the file generated from it, as paths relative to the root of the workspace.
 struct Target {
     schema: &'static str,
     output: &'static str,
-    /// Derives beyond those that the generator always adds.
+    /// Derives in addition to those that the generator always adds.
     derives: &'static [&'static str],
-    /// Types of the schema that are generated elsewhere, and their paths.
+    /// Schema types that are generated in another file, with their Rust paths.
     replacements: &'static [(&'static str, &'static str)],
 }
 
@@ -82,7 +82,7 @@
     if std::fs::read_to_string(&output)? == code {
         return Ok(());
     }
-    Err(format!("{} is not current: run the codegen example", target.output).into())
+    Err(format!("{} is out of date: run the codegen example", target.output).into())
 }
 
 fn generate(schema: &Path, target: &Target) -> Result<String, AnyError> {
--- a/crates/galenapath-codegen/src/lib.rs
+++ b/crates/galenapath-codegen/src/lib.rs
@@ -1,4 +1,5 @@
-//! Home of the `codegen` example, which turns the schemas under `schema/` into Rust types.
+//! Package of the `codegen` example, which generates Rust types from the JSON schemas under
+//! `schema/`.
 //!
-//! It depends on no other crate of the workspace, so that it still runs when generated code is
-//! missing or does not compile.
+//! It depends on no other crate of the workspace, so that it can run when generated code is missing
+//! or does not compile.
