--- a/crates/galenapath-lab/examples/lab.rs
+++ b/crates/galenapath-lab/examples/lab.rs
@@ -1,4 +1,4 @@
-//! Plays decisions on a deployment and prints what callers got.
+//! Simulates the gateway's decisions on a deployment and prints the outcomes of the requests.
 //!
 //!     cargo run --release -p galenapath-lab --example lab -- run FILE --seeds 8 --without sharing
 //!     cargo run --release -p galenapath-lab --example lab -- ablate FILE --seeds 16
@@ -7,14 +7,14 @@
 #![allow(clippy::print_stdout, reason = "a command-line tool")]
 
 use clap::{Parser, Subcommand};
-use galenapath_lab::{Deployment, Knob, Policy, Report, Switch, play, play_oracle};
+use galenapath_lab::{Deployment, Policy, Report, Switch, Threshold, simulate, simulate_oracle};
 use serde::Serialize;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::thread;
 
 #[derive(Parser)]
-#[command(about = "Plays the gateway's decisions in virtual time")]
+#[command(about = "Simulates the gateway's decisions in virtual time")]
 struct Options {
     #[command(subcommand)]
     command: Command,
@@ -22,33 +22,33 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays one policy and the oracle.
+    /// Simulates one policy and the oracle.
     Run {
-        /// The deployment.
+        /// The deployment file.
         file: PathBuf,
-        /// Seeds to play, from 1 on.
+        /// Number of seeds, counted from 1.
         #[arg(long, default_value_t = 8)]
         seeds: u64,
-        /// Mechanisms to go without.
+        /// Mechanisms to disable.
         #[arg(long, value_delimiter = ',')]
         without: Vec<Switch>,
         /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Plays with each threshold halved and doubled in turn.
+    /// Simulates with each threshold halved and doubled in turn.
     Sensitivity {
-        /// The deployment.
+        /// The deployment file.
         file: PathBuf,
-        /// Seeds to play, from 1 on.
+        /// Number of seeds, counted from 1.
         #[arg(long, default_value_t = 32)]
         seeds: u64,
     },
-    /// Plays with each mechanism off in turn.
+    /// Simulates with each mechanism disabled in turn.
     Ablate {
-        /// The deployment.
+        /// The deployment file.
         file: PathBuf,
-        /// Seeds to play, from 1 on.
+        /// Number of seeds, counted from 1.
         #[arg(long, default_value_t = 16)]
         seeds: u64,
     },
@@ -69,13 +69,13 @@
         Command::Run { file, seeds, without, json } => {
             let deployment = Deployment::read(&file)?;
             let policy = Policy::without(&without);
-            let reports = all_seeds(seeds, |seed| play(&deployment, seed, &policy));
-            let oracle = all_seeds(seeds, |seed| play_oracle(&deployment, seed));
+            let reports = all_seeds(seeds, |seed| simulate(&deployment, seed, &policy));
+            let oracle = all_seeds(seeds, |seed| simulate_oracle(&deployment, seed));
             if json {
                 println!("{}", serde_json::to_string_pretty(&reports)?);
                 return Ok(());
             }
-            println!("{HEAD}");
+            println!("{HEADING}");
             println!("{}", Row::new("policy", &reports, None));
             println!("{}", Row::new("oracle", &oracle, Some(&reports)));
             print_windows(&reports, &oracle);
@@ -83,45 +83,48 @@
         Command::Sensitivity { file, seeds } => {
             let deployment = Deployment::read(&file)?;
             let shipping = Policy::default();
-            let whole = all_seeds(seeds, |seed| play(&deployment, seed, &shipping));
-            println!("{HEAD}");
-            println!("{}", Row::new("whole", &whole, None));
-            for knob in Knob::all() {
+            let baseline = all_seeds(seeds, |seed| simulate(&deployment, seed, &shipping));
+            println!("{HEADING}");
+            println!("{}", Row::new("whole", &baseline, None));
+            for threshold in Threshold::all() {
                 for (name, factor) in [("half", 0.5), ("twice", 2.0)] {
-                    let policy = shipping.scaled(*knob, factor);
-                    let reports = all_seeds(seeds, |seed| play(&deployment, seed, &policy));
-                    println!("{}", Row::new(&format!("{name} {knob:?}"), &reports, Some(&whole)));
+                    let policy = shipping.scaled(*threshold, factor);
+                    let reports = all_seeds(seeds, |seed| simulate(&deployment, seed, &policy));
+                    println!(
+                        "{}",
+                        Row::new(&format!("{name} {threshold:?}"), &reports, Some(&baseline))
+                    );
                 }
             }
         }
         Command::Ablate { file, seeds } => {
             let deployment = Deployment::read(&file)?;
-            let whole = all_seeds(seeds, |seed| play(&deployment, seed, &Policy::default()));
-            println!("{HEAD}");
-            println!("{}", Row::new("whole", &whole, None));
+            let baseline = all_seeds(seeds, |seed| simulate(&deployment, seed, &Policy::default()));
+            println!("{HEADING}");
+            println!("{}", Row::new("whole", &baseline, None));
             for switch in Switch::all() {
                 let policy = Policy::without(&[*switch]);
-                let reports = all_seeds(seeds, |seed| play(&deployment, seed, &policy));
+                let reports = all_seeds(seeds, |seed| simulate(&deployment, seed, &policy));
                 let name = format!("without {switch}");
-                println!("{}", Row::new(&name, &reports, Some(&whole)));
+                println!("{}", Row::new(&name, &reports, Some(&baseline)));
             }
-            let oracle = all_seeds(seeds, |seed| play_oracle(&deployment, seed));
-            println!("{}", Row::new("oracle", &oracle, Some(&whole)));
+            let oracle = all_seeds(seeds, |seed| simulate_oracle(&deployment, seed));
+            println!("{}", Row::new("oracle", &oracle, Some(&baseline)));
         }
     }
     Ok(())
 }
 
-/// Plays all seeds, each on a thread of its own as far as there are cores.
-fn all_seeds(seeds: u64, one: impl Fn(u64) -> Report + Sync) -> Vec<Report> {
+/// Runs all seeds, distributed over one thread per core.
+fn all_seeds(seeds: u64, run_seed: impl Fn(u64) -> Report + Sync) -> Vec<Report> {
     let cores = thread::available_parallelism().map_or(1, usize::from) as u64;
-    let one = &one;
+    let run_seed = &run_seed;
     let mut reports: Vec<(u64, Report)> = thread::scope(|scope| {
         let workers: Vec<_> = (0..cores)
             .map(|worker| {
                 scope.spawn(move || {
                     let own = (1..=seeds).filter(|seed| seed % cores == worker);
-                    own.map(|seed| (seed, one(seed))).collect::<Vec<_>>()
+                    own.map(|seed| (seed, run_seed(seed))).collect::<Vec<_>>()
                 })
             })
             .collect();
@@ -131,9 +134,9 @@
     reports.into_iter().map(|(_, report)| report).collect()
 }
 
-const HEAD: &str = "                      in target    late refused  worst 2 s  questions  probes  shed  difference, +- its error";
+const HEADING: &str = "                      in target    late refused  worst 2 s  questions  probes  shed  difference, +- its error";
 
-/// Means over seeds.
+/// One row of the table: means over all seeds.
 #[derive(Serialize)]
 struct Row {
     name: String,
@@ -144,11 +147,11 @@
     questions: f64,
     probes: f64,
     shed: f64,
-    /// Of the share in target from that of the plays it is held against, seed by seed, with its standard
-    /// error.
+    /// Mean difference of the share in target from the baseline with the same seed.
     difference: Option<Difference>,
 }
 
+/// A mean difference over all seeds and its standard error.
 #[derive(Serialize)]
 struct Difference {
     mean: f64,
@@ -156,27 +159,27 @@
 }
 
 impl Row {
-    fn new(name: &str, reports: &[Report], against: Option<&[Report]>) -> Self {
+    fn new(name: &str, reports: &[Report], baseline: Option<&[Report]>) -> Self {
         let mean = |of: &dyn Fn(&Report) -> f64| {
             reports.iter().map(of).sum::<f64>() / reports.len().max(1) as f64
         };
-        let asked = |report: &Report| report.totals.asked().max(1) as f64;
+        let request_count = |report: &Report| report.totals.request_count().max(1) as f64;
         Self {
             name: name.to_owned(),
             in_target: mean(&|r| r.totals.share_in_target()),
-            late: mean(&|r| r.totals.late as f64 / asked(r)),
-            refused: mean(&|r| r.totals.refused as f64 / asked(r)),
+            late: mean(&|r| r.totals.late as f64 / request_count(r)),
+            refused: mean(&|r| r.totals.refused as f64 / request_count(r)),
             worst: mean(&|r| r.worst().map_or(0.0, |w| w.totals.share_in_target())),
-            questions: mean(&|r| r.questions as f64 / asked(r)),
-            probes: mean(&|r| r.probes as f64 / asked(r)),
-            shed: mean(&|r| r.shed as f64 / asked(r)),
-            difference: against.map(|against| difference(reports, against)),
+            questions: mean(&|r| r.questions as f64 / request_count(r)),
+            probes: mean(&|r| r.probes as f64 / request_count(r)),
+            shed: mean(&|r| r.shed as f64 / request_count(r)),
+            difference: baseline.map(|baseline| difference(reports, baseline)),
         }
     }
 }
 
-fn difference(reports: &[Report], against: &[Report]) -> Difference {
-    let pairs = reports.iter().zip(against);
+fn difference(reports: &[Report], baseline: &[Report]) -> Difference {
+    let pairs = reports.iter().zip(baseline);
     let each: Vec<f64> =
         pairs.map(|(a, b)| a.totals.share_in_target() - b.totals.share_in_target()).collect();
     let count = each.len().max(1) as f64;
--- a/crates/galenapath-lab/src/callers.rs
+++ b/crates/galenapath-lab/src/callers.rs
@@ -1,4 +1,5 @@
-//! What callers send, drawn before the play, so that all players of a seed get the same.
+//! Requests of callers, drawn before the simulation starts, so that all simulations with one seed
+//! get the same requests.
 
 use crate::deployment::Deployment;
 use galenapath_protocol::Micros;
@@ -6,27 +7,28 @@
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
 
-/// A request before anybody has decided anything about it.
+/// A request as its caller sends it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
-    /// When its caller first sends it.
+    /// Time of its first send.
     pub(crate) at: Micros,
     /// The caller's failure domain.
     pub(crate) domain: usize,
-    /// Work at the usual pace.
+    /// Time that it takes at the usual pace of a server.
     pub(crate) work: Micros,
 }
 
-/// Milliseconds as a span.
-pub(crate) fn millis(ms: f64) -> Micros {
+/// Converts milliseconds to microseconds; negative values become zero.
+pub(crate) fn micros_from_ms(ms: f64) -> Micros {
     Micros((ms * 1_000.0).max(0.0) as u64)
 }
 
-/// All requests of a play, in the order of their times.
+/// Draws all requests of a simulation, in the order of their times.
 pub(crate) fn arrivals(deployment: &Deployment, seed: u64) -> Vec<Arrival> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let spec = &deployment.servers;
-    // The mean of a log-normal distribution lies above its median.
+    // The mean of a log-normal distribution is above its median, so the location parameter is
+    // reduced to give a mean of `work_ms`.
     let median = spec.work_ms.ln() - spec.spread * spec.spread / 2.0;
     let Ok(work) = LogNormal::new(median, spec.spread) else { return Vec::new() };
     let Ok(gap) = Exp::new(1.0) else { return Vec::new() };
@@ -39,9 +41,9 @@
             return all;
         }
         all.push(Arrival {
-            at: millis(at_s * 1_000.0),
+            at: micros_from_ms(at_s * 1_000.0),
             domain: rng.random_range(0..spec.per_domain.len()),
-            work: millis(work.sample(&mut rng)),
+            work: micros_from_ms(work.sample(&mut rng)),
         });
     }
 }
--- a/crates/galenapath-lab/src/deployment.rs
+++ b/crates/galenapath-lab/src/deployment.rs
@@ -1,4 +1,4 @@
-//! What is played: servers, how they work, and what callers send.
+//! The simulated deployment: backend servers, their speed, and the requests of callers.
 
 use serde::Deserialize;
 use std::path::Path;
@@ -9,17 +9,17 @@
 pub struct Deployment {
     /// Seconds for which callers send.
     pub length_s: f64,
-    /// Time of one way between two failure domains, in milliseconds.
+    /// One-way latency between two failure domains, in milliseconds.
     pub crossing_ms: f64,
-    /// Instances in each failure domain that serve callers.
+    /// Number of instances in each failure domain.
     pub instances_per_domain: usize,
     /// The backend servers.
     pub servers: ServerSpec,
-    /// How their pace changes.
-    pub spells: SpellSpec,
-    /// What callers send.
+    /// Slow periods of the servers.
+    pub spells: SlowPeriodSpec,
+    /// The callers and their requests.
     pub callers: CallerSpec,
-    /// Times of a higher load.
+    /// Periods of higher load.
     #[serde(default)]
     pub bursts: Vec<Burst>,
 }
@@ -28,31 +28,32 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ServerSpec {
-    /// Servers in each failure domain.
+    /// Number of servers in each failure domain.
     pub per_domain: Vec<usize>,
-    /// Requests that one runs at once.
+    /// Requests that one server runs at once.
     pub slots: u32,
-    /// Requests that one lets wait; it sheds more.
+    /// Requests that wait at one server at most; it sheds any more.
     pub queue: usize,
-    /// Mean work of a request at the usual pace, in milliseconds.
+    /// Mean time that a request takes at the usual pace, in milliseconds.
     pub work_ms: f64,
-    /// Standard deviation of the logarithm of the work.
+    /// Standard deviation of the logarithm of that time.
     pub spread: f64,
-    /// Part of the slots above which a request that begins takes longer.
+    /// Fraction of the slots in use above which a request that starts takes longer.
     pub crowded_from: f64,
-    /// How much longer.
+    /// Factor by which it takes longer.
     pub crowded_factor: f64,
 }
 
-/// Spells in which a server works slowly; what begins in one takes longer to its end.
+/// Slow periods of servers. A request that starts in one takes longer, even if the period ends
+/// before it.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct SpellSpec {
-    /// Part of the time that a server is slow.
+pub struct SlowPeriodSpec {
+    /// Fraction of the time that a server is slow.
     pub part: f64,
-    /// How much longer work takes then.
+    /// Factor by which requests take longer in a slow period.
     pub factor: f64,
-    /// Mean time between two draws of a server's pace, in milliseconds.
+    /// Mean time between two random draws of the pace of a server, in milliseconds.
     pub every_ms: f64,
 }
 
@@ -60,19 +61,20 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct CallerSpec {
-    /// Requests a second, all domains together.
+    /// Requests per second in all domains together.
     pub per_second: f64,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Latency target, in milliseconds.
     pub target_ms: f64,
-    /// Time that a caller waits, in milliseconds.
+    /// Time after which a caller gives up, in milliseconds.
     pub patience_ms: f64,
-    /// Longest time of one attempt, in milliseconds.
+    /// Timeout of one attempt, in milliseconds.
     pub timeout_ms: f64,
-    /// Part of the time left up to which a caller heeds the time to come back. It comes back once.
+    /// Fraction of its remaining time that a rejected caller waits at most before it retries, even
+    /// if the instance asked for a longer delay. It retries once.
     pub heeded_part: f64,
 }
 
-/// A time of higher load.
+/// A period of higher load.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
@@ -80,11 +82,11 @@
     pub from_s: f64,
     /// Length, in seconds.
     pub length_s: f64,
-    /// Requests a second over the usual.
+    /// Factor on the usual request rate.
     pub factor: f64,
 }
 
-/// Why a deployment cannot be played.
+/// Why a deployment cannot be simulated.
 #[derive(Debug, thiserror::Error)]
 pub enum DeploymentError {
     /// The file cannot be read.
@@ -92,25 +94,25 @@
     Unreadable {
         /// The file.
         file: String,
-        /// What the system says.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The text is no deployment; the source names line and key.
+    /// The text is not a valid deployment file. The source gives line and key.
     #[error("{file}: {source}")]
     Malformed {
         /// The file.
         file: String,
-        /// What is wrong where.
+        /// The parser's error.
         source: Box<toml::de::Error>,
     },
-    /// A figure makes no sense.
+    /// A value is out of range.
     #[error("{file}: `{key}` {rule}")]
     OutOfRange {
         /// The file.
         file: String,
         /// The key.
         key: &'static str,
-        /// What it has to be.
+        /// The valid range.
         rule: &'static str,
     },
 }
@@ -120,7 +122,7 @@
     ///
     /// # Errors
     ///
-    /// Where the file cannot be read or played.
+    /// Returns an error if the file cannot be read or a value is not valid.
     pub fn read(path: &Path) -> Result<Self, DeploymentError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -128,16 +130,16 @@
         Self::parse(&file, &text)
     }
 
-    /// Reads a deployment from `text`, which `file` names in errors.
+    /// Parses a deployment from `text`. Errors refer to it as `file`.
     ///
     /// # Errors
     ///
-    /// Where it cannot be played.
+    /// Returns an error if the text cannot be parsed or a value is not valid.
     pub fn parse(file: &str, text: &str) -> Result<Self, DeploymentError> {
         let deployment: Self = toml::from_str(text).map_err(|source| {
             DeploymentError::Malformed { file: file.to_owned(), source: Box::new(source) }
         })?;
-        match deployment.fault() {
+        match deployment.invalid_key() {
             Some((key, rule)) => {
                 Err(DeploymentError::OutOfRange { file: file.to_owned(), key, rule })
             }
@@ -145,21 +147,22 @@
         }
     }
 
-    fn fault(&self) -> Option<(&'static str, &'static str)> {
+    /// The first key with an invalid value and the valid range, if any.
+    fn invalid_key(&self) -> Option<(&'static str, &'static str)> {
         let Self { servers, spells, callers, .. } = self;
-        let positive = "has to be more than 0";
-        let part = "has to be between 0 and 1";
-        let at_least_one = "has to be 1 or more";
+        let positive = "must be greater than 0";
+        let fraction = "must be between 0 and 1";
+        let at_least_one = "must be 1 or greater";
         let rules = [
             (self.length_s > 0.0, "length_s", positive),
-            (self.crossing_ms >= 0.0, "crossing_ms", "has to be 0 or more"),
+            (self.crossing_ms >= 0.0, "crossing_ms", "must be 0 or greater"),
             (self.instances_per_domain > 0, "instances_per_domain", at_least_one),
             (servers.per_domain.iter().sum::<usize>() > 0, "servers.per_domain", positive),
             (servers.slots > 0, "servers.slots", at_least_one),
             (servers.work_ms > 0.0, "servers.work_ms", positive),
-            (servers.spread >= 0.0, "servers.spread", "has to be 0 or more"),
+            (servers.spread >= 0.0, "servers.spread", "must be 0 or greater"),
             (servers.crowded_factor >= 1.0, "servers.crowded_factor", at_least_one),
-            ((0.0..=1.0).contains(&spells.part), "spells.part", part),
+            ((0.0..=1.0).contains(&spells.part), "spells.part", fraction),
             (spells.factor >= 1.0, "spells.factor", at_least_one),
             (spells.every_ms > 0.0, "spells.every_ms", positive),
             (callers.per_second > 0.0, "callers.per_second", positive),
@@ -168,15 +171,15 @@
             (
                 callers.patience_ms >= callers.target_ms,
                 "callers.patience_ms",
-                "is below the target",
+                "must not be below the target",
             ),
-            ((0.0..=1.0).contains(&callers.heeded_part), "callers.heeded_part", part),
+            ((0.0..=1.0).contains(&callers.heeded_part), "callers.heeded_part", fraction),
             (self.bursts.iter().all(|b| b.factor > 0.0), "bursts.factor", positive),
         ];
         rules.into_iter().find(|(holds, ..)| !holds).map(|(_, key, rule)| (key, rule))
     }
 
-    /// Requests a second at `at_s` seconds.
+    /// Requests per second at `at_s` seconds.
     pub(crate) fn rate_at(&self, at_s: f64) -> f64 {
         let is_on = |b: &&Burst| at_s >= b.from_s && at_s < b.from_s + b.length_s;
         self.callers.per_second
--- a/crates/galenapath-lab/src/event.rs
+++ b/crates/galenapath-lab/src/event.rs
@@ -1,37 +1,37 @@
-//! Events of a play.
+//! Events of a simulation.
 
 use galenapath_protocol::{LoadReport, Micros};
 
-/// What happens at a moment of a play. Ordered, so that events of one moment have an order.
+/// An event at a point in virtual time. Ordered, as the event heap requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Event {
-    /// A request reaches an instance, for the first time or after a refusal.
-    Arrives { request: usize, instance: usize, is_back: bool },
-    /// A question reaches a server.
-    AskReaches { request: usize, instance: usize, server: usize, asked_at: Micros },
-    /// Its answer reaches the instance.
-    AskAnswered { request: usize, instance: usize, server: usize, load: Load, asked_at: Micros },
+    /// A request reaches an instance, for the first time or as a retry after a rejection.
+    RequestArrived { request: usize, instance: usize, is_retry: bool },
+    /// A load query reaches a server.
+    QueryReceived { request: usize, instance: usize, server: usize, sent_at: Micros },
+    /// The answer to a load query reaches the instance.
+    QueryAnswered { request: usize, instance: usize, server: usize, load: Load, sent_at: Micros },
     /// A request reaches a server.
-    Reaches { request: usize, instance: usize, server: usize },
+    RequestReceived { request: usize, instance: usize, server: usize },
     /// A request ends at a server.
-    Ends { request: usize, instance: usize, server: usize },
-    /// Its answer reaches the instance.
-    Answered { request: usize, instance: usize, server: usize, load: Load },
-    /// The word that a server did not take a request reaches the instance.
-    Shed { request: usize, instance: usize, server: usize },
-    /// What another instance has seen reaches this one.
-    Told { instance: usize, server: usize, load: Load, at: Micros },
-    /// A probe has been answered.
-    ProbeReaches { instance: usize, server: usize, asked_at: Micros },
-    /// An instance looks at its line.
-    Look { instance: usize },
-    /// It is time to look which probes are due.
-    Probes,
-    /// An instance tells the others what is news.
+    RequestEnded { request: usize, instance: usize, server: usize },
+    /// The answer to a request reaches the instance.
+    AnswerReceived { request: usize, instance: usize, server: usize, load: Load },
+    /// The answer that a server shed a request reaches the instance.
+    ShedReceived { request: usize, instance: usize, server: usize },
+    /// A load observation of another instance reaches this one.
+    ObservationReceived { instance: usize, server: usize, load: Load, at: Micros },
+    /// The answer to a probe reaches the instance.
+    ProbeAnswered { instance: usize, server: usize, sent_at: Micros },
+    /// An instance polls its placement queue.
+    QueuePoll { instance: usize },
+    /// All instances check which probes are due.
+    ProbeCheck,
+    /// An instance sends its load updates to the others.
     Flush { instance: usize },
 }
 
-/// A load report that can be ordered among events.
+/// A load report with an order, for use in [`Event`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Load {
     in_flight: u32,
--- a/crates/galenapath-lab/src/instance.rs
+++ b/crates/galenapath-lab/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: the shipping decisions and what it keeps about requests in progress.
+//! A simulated instance: the gateway's placement code and the state of the requests in progress.
 
 use crate::deployment::Deployment;
 use crate::policy::Policy;
@@ -7,80 +7,81 @@
 };
 use galenapath_protocol::{BackendId, FastMap, Micros};
 
-/// Where a request stands at an instance.
+/// State of a request at an instance.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Call {
-    /// How the server that it was given looked.
-    pub(crate) started: ServerSnapshot,
-    /// When it was sent.
+pub(crate) struct RequestState {
+    /// Snapshot of the server assigned to it.
+    pub(crate) snapshot: ServerSnapshot,
+    /// Time of the last send.
     pub(crate) sent_at: Micros,
-    /// Servers that turned out unfit or have shed it.
+    /// Servers that were unfit when queried or shed the request.
     pub(crate) passed_over: Vec<BackendId>,
-    /// Servers that turned out unfit.
-    pub(crate) choices: u32,
+    /// Number of servers that were unfit when queried.
+    pub(crate) unfit_count: u32,
 }
 
-/// One instance.
+/// A simulated instance.
 pub(crate) struct Instance {
     pub(crate) domain: usize,
     pub(crate) placement: Placement,
-    pub(crate) line: PlacementQueue,
-    pub(crate) calls: FastMap<usize, Call>,
-    /// What it last told the others of each server.
-    told: FastMap<usize, LoadObservation>,
-    /// What it tells them next.
+    pub(crate) queue: PlacementQueue,
+    pub(crate) requests: FastMap<usize, RequestState>,
+    /// The last observation of each server that was queued for the other instances.
+    sent: FastMap<usize, LoadObservation>,
+    /// Observations to send to the other instances next.
     pub(crate) outbox: FastMap<usize, LoadObservation>,
 }
 
-/// The identity of a server.
-pub(crate) fn id_of(server: usize) -> BackendId {
+/// The backend id of a server.
+pub(crate) fn backend_id(server: usize) -> BackendId {
     BackendId(format!("s{server}").into())
 }
 
-/// The server with an identity that [`id_of`] made.
-pub(crate) fn server_of(id: &BackendId) -> usize {
+/// The index of the server with an id made by [`backend_id`].
+pub(crate) fn server_index(id: &BackendId) -> usize {
     id.0.trim_start_matches('s').parse().unwrap_or(0)
 }
 
 impl Instance {
     pub(crate) fn new(deployment: &Deployment, domain: usize, policy: &Policy, seed: u64) -> Self {
         let mut placement = Placement::new(policy.place.clone(), seed);
-        placement.set_servers(Micros::ZERO, &listed(deployment, domain));
-        placement.assume_work(crate::callers::millis(deployment.callers.target_ms));
+        placement.set_servers(Micros::ZERO, &placed_servers(deployment, domain));
+        placement.assume_work(crate::callers::micros_from_ms(deployment.callers.target_ms));
         Self {
             domain,
             placement,
-            line: PlacementQueue::new(WaitQueue::new(policy.queue.clone())),
-            calls: FastMap::default(),
-            told: FastMap::default(),
+            queue: PlacementQueue::new(WaitQueue::new(policy.queue.clone())),
+            requests: FastMap::default(),
+            sent: FastMap::default(),
             outbox: FastMap::default(),
         }
     }
 
-    /// A server was given to a request, which has to be counted off there when it goes elsewhere.
-    pub(crate) fn given(&mut self, request: usize, given: &Assignment) {
-        self.calls.entry(request).or_default().started = given.snapshot;
+    /// Records the server assigned to a request. [`Placement::finish`] must be called for it if the
+    /// request then goes to another one.
+    pub(crate) fn record_assignment(&mut self, request: usize, assignment: &Assignment) {
+        self.requests.entry(request).or_default().snapshot = assignment.snapshot;
     }
 
-    /// Keeps a sighting for the others where it is news.
-    pub(crate) fn tell(&mut self, server: usize, sighting: LoadObservation) {
-        let told = self.told.get(&server);
-        if told.is_none_or(|told| sighting.is_update_to(told)) {
-            self.told.insert(server, sighting);
-            self.outbox.insert(server, sighting);
+    /// Queues an observation for the other instances if it updates the last one queued.
+    pub(crate) fn queue_observation(&mut self, server: usize, observation: LoadObservation) {
+        let sent = self.sent.get(&server);
+        if sent.is_none_or(|sent| observation.is_update_to(sent)) {
+            self.sent.insert(server, observation);
+            self.outbox.insert(server, observation);
         }
     }
 }
 
-fn listed(deployment: &Deployment, domain: usize) -> Vec<PlacedServer> {
+fn placed_servers(deployment: &Deployment, domain: usize) -> Vec<PlacedServer> {
     let domains = deployment.servers.per_domain.iter().enumerate();
     let domains = domains.flat_map(|(n, count)| std::iter::repeat_n(n, *count));
     domains
         .enumerate()
-        .map(|(n, home)| PlacedServer {
-            id: id_of(n),
+        .map(|(n, server_domain)| PlacedServer {
+            id: backend_id(n),
             slots: deployment.servers.slots,
-            is_local: home == domain,
+            is_local: server_domain == domain,
             is_leaving: false,
             is_withdrawn: false,
             cold_for: Micros::ZERO,
--- a/crates/galenapath-lab/src/lib.rs
+++ b/crates/galenapath-lab/src/lib.rs
@@ -1,29 +1,32 @@
-//! The decisions of a gateway played in virtual time: the code that ships, without sockets.
+//! Simulates the decisions of gateway instances in virtual time: the production code without
+//! sockets.
 //!
-//! A [`Deployment`] says which servers there are, how they work and what callers send. [`play`] runs
-//! instances on it that choose by the shipping [`Placement`](galenapath_policy::place::Placement) and
-//! [`PlacementQueue`](galenapath_policy::place::PlacementQueue), with mechanisms switched off as
-//! asked; [`play_oracle`] is a single dispatcher that sees every slot and pace at once. Both get the same arrivals, work and spells
-//! for a seed, so that two results of one seed differ by the decisions alone.
+//! A [`Deployment`] describes the servers and the requests of callers. [`simulate`] runs instances
+//! that choose servers with the production [`Placement`](galenapath_policy::place::Placement) and
+//! [`PlacementQueue`](galenapath_policy::place::PlacementQueue), optionally with some mechanisms
+//! disabled. [`simulate_oracle`] runs a single dispatcher that knows the slots and pace of every
+//! server at all times. With the same seed, both get the same arrivals, work and slow periods, so
+//! their results differ only because of the decisions.
 //!
-//! Played: questions before a send, loads told between instances, probes, waiting, refusals, callers who
-//! come back once, spells of slowness, crowding, servers that shed. Not played: copies, retries after a
-//! fault and their budget, lost instances and servers, processor time, the cost of bytes.
+//! Simulated: load queries before a send, load updates between instances, probes, waiting,
+//! rejections, callers that retry once, slow periods, contention, and servers that shed requests.
+//! Not simulated: hedging, retries after a fault and their budget, failures of instances and
+//! servers, processor time, and the cost of transferring bytes.
 
 mod callers;
 mod deployment;
 mod event;
 mod instance;
 mod oracle;
-mod play;
 mod policy;
 mod report;
 mod servers;
+mod simulation;
 mod switch;
 
-pub use deployment::{Burst, CallerSpec, Deployment, DeploymentError, ServerSpec, SpellSpec};
-pub use oracle::play_oracle;
-pub use play::play;
-pub use policy::{Knob, Policy};
+pub use deployment::{Burst, CallerSpec, Deployment, DeploymentError, ServerSpec, SlowPeriodSpec};
+pub use oracle::simulate_oracle;
+pub use policy::{Policy, Threshold};
 pub use report::{Outcome, Report, Totals, Window};
+pub use simulation::simulate;
 pub use switch::{Switch, UnknownSwitch};
--- a/crates/galenapath-lab/src/oracle.rs
+++ b/crates/galenapath-lab/src/oracle.rs
@@ -1,18 +1,19 @@
-//! A dispatcher that sees every slot, pace and work at once, crosses nothing and asks nothing: what the
-//! decisions of the instances are held against.
+//! A dispatcher that knows every slot, pace and work at all times, without network latency or load
+//! queries. It is the reference for the decisions of the instances.
 
-use crate::callers::{Arrival, arrivals, millis};
+use crate::callers::{Arrival, arrivals, micros_from_ms};
 use crate::deployment::Deployment;
 use crate::report::{Outcome, Report};
-use crate::servers::{Reached, Run, Server};
+use crate::servers::{ReceiveOutcome, Server, ServerRequest};
 use galenapath_protocol::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Plays the deployment with the dispatcher that sees all. A request starts at the server that answers it
-/// first, and only where that is in time; it waits while that may still come, the oldest first. What can no
-/// longer be in time is served late where nobody who can be in time wants the slot.
-pub fn play_oracle(deployment: &Deployment, seed: u64) -> Report {
+/// Simulates the deployment with the omniscient dispatcher. It sends each request to the server
+/// that would answer first, if that meets the target; otherwise the request waits, oldest first,
+/// while it can still meet the target. Requests that can no longer meet it run when no request that
+/// can is waiting.
+pub fn simulate_oracle(deployment: &Deployment, seed: u64) -> Report {
     Oracle::new(deployment, seed).run()
 }
 
@@ -20,23 +21,24 @@
     deployment: &'a Deployment,
     arrivals: Vec<Arrival>,
     servers: Vec<Server>,
-    /// Ends of requests, by time.
+    /// End times of running requests, with their servers.
     ends: BinaryHeap<Reverse<(Micros, usize)>>,
-    /// Requests that may still be in time, oldest first, and those that cannot.
+    /// Requests that can still meet their target, oldest first.
     waiting: Vec<usize>,
+    /// Requests that can no longer meet it.
     late: Vec<usize>,
     report: Report,
 }
 
-/// Time between two looks at the queue: a spell may have ended.
-const LOOK: Micros = Micros::from_millis(2);
+/// Interval at which waiting requests are checked, because a slow period may have ended.
+const POLL_INTERVAL: Micros = Micros::from_millis(2);
 
 impl<'a> Oracle<'a> {
     fn new(deployment: &'a Deployment, seed: u64) -> Self {
         Self {
             deployment,
             arrivals: arrivals(deployment, seed),
-            servers: Server::all(deployment, seed),
+            servers: Server::all_of(deployment, seed),
             ends: BinaryHeap::new(),
             waiting: Vec::new(),
             late: Vec::new(),
@@ -57,20 +59,20 @@
                     self.servers[server].end(self.deployment, now);
                 }
             }
-            self.start(now);
-            now = now + LOOK;
+            self.start_waiting(now);
+            now = now + POLL_INTERVAL;
         }
         self.report
     }
 
-    fn start(&mut self, now: Micros) {
-        let target = millis(self.deployment.callers.target_ms);
-        let patience = millis(self.deployment.callers.patience_ms);
+    fn start_waiting(&mut self, now: Micros) {
+        let target = micros_from_ms(self.deployment.callers.target_ms);
+        let caller_timeout = micros_from_ms(self.deployment.callers.patience_ms);
         for request in std::mem::take(&mut self.waiting) {
             let Arrival { at, work, .. } = self.arrivals[request];
-            match self.best(now, work) {
+            match self.fastest_free_server(now, work) {
                 Some((server, ends)) if ends <= at + target => {
-                    self.begin(now, server, request, Outcome::InTarget);
+                    self.start_request(now, server, request, Outcome::InTarget);
                 }
                 _ if now + work > at + target => self.late.push(request),
                 _ => self.waiting.push(request),
@@ -81,32 +83,34 @@
         }
         for request in std::mem::take(&mut self.late) {
             let Arrival { at, work, .. } = self.arrivals[request];
-            match self.best(now, work) {
-                Some((server, ends)) if ends <= at + patience => {
-                    self.begin(now, server, request, Outcome::Late);
+            match self.fastest_free_server(now, work) {
+                Some((server, ends)) if ends <= at + caller_timeout => {
+                    self.start_request(now, server, request, Outcome::Late);
                 }
-                _ if now + work > at + patience => {
-                    self.report.add(at.as_millis_f64() / 1_000.0, Outcome::Refused);
+                _ if now + work > at + caller_timeout => {
+                    self.report.record(at.as_millis_f64() / 1_000.0, Outcome::Rejected);
                 }
                 _ => self.late.push(request),
             }
         }
     }
 
-    /// The server with a free slot that would answer first, and when.
-    fn best(&self, now: Micros, work: Micros) -> Option<(usize, Micros)> {
+    /// The server with a free slot that would answer first, and the time of that answer.
+    fn fastest_free_server(&self, now: Micros, work: Micros) -> Option<(usize, Micros)> {
         let free = |server: &&Server| server.running < self.deployment.servers.slots;
-        let ends = |server: &Server| now + server.time_of(self.deployment, now, work);
+        let ends = |server: &Server| now + server.service_time(self.deployment, now, work);
         let servers = self.servers.iter().enumerate().filter(|(_, server)| free(server));
         servers.map(|(n, server)| (n, ends(server))).min_by_key(|(_, ends)| *ends)
     }
 
-    fn begin(&mut self, now: Micros, server: usize, request: usize, outcome: Outcome) {
+    fn start_request(&mut self, now: Micros, server: usize, request: usize, outcome: Outcome) {
         let Arrival { at, work, .. } = self.arrivals[request];
-        let run = Run { request, work };
-        if let Reached::Began { ends } = self.servers[server].reach(self.deployment, now, run) {
+        let request = ServerRequest { request, work };
+        if let ReceiveOutcome::Started { ends } =
+            self.servers[server].receive(self.deployment, now, request)
+        {
             self.ends.push(Reverse((ends, server)));
-            self.report.add(at.as_millis_f64() / 1_000.0, outcome);
+            self.report.record(at.as_millis_f64() / 1_000.0, outcome);
         }
     }
 }
--- a/crates/galenapath-lab/src/policy.rs
+++ b/crates/galenapath-lab/src/policy.rs
@@ -1,20 +1,21 @@
-//! The policy that is played: the shipping thresholds, with some changed and some mechanisms off.
+//! The simulated policy: the production thresholds, optionally with changes and disabled
+//! mechanisms.
 
 use crate::switch::Switch;
 use galenapath_policy::place::{PlaceConfig, QueueConfig};
 use galenapath_protocol::Micros;
 
-/// Cost factors and limits so far off that the mechanism never acts.
+/// A limit so high that the mechanism never takes effect.
 const NEVER: f32 = 1e9;
 
-/// More servers than any deployment has.
+/// A sample size larger than the number of servers of any deployment.
 const ALL_SERVERS: usize = 10_000;
 
-/// A policy.
+/// Thresholds and disabled mechanisms of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Policy {
-    /// Mechanisms that are off.
-    pub without: Vec<Switch>,
+    /// Disabled mechanisms.
+    pub disabled: Vec<Switch>,
     /// Thresholds of placement.
     pub place: PlaceConfig,
     /// Thresholds of the queue.
@@ -22,70 +23,71 @@
 }
 
 impl Policy {
-    /// The shipping policy without some mechanisms.
+    /// The production policy with some mechanisms disabled.
     pub fn without(switches: &[Switch]) -> Self {
-        let mut policy = Self { without: switches.to_vec(), ..Self::default() };
-        switches.iter().for_each(|switch| policy.switch_off(*switch));
+        let mut policy = Self { disabled: switches.to_vec(), ..Self::default() };
+        switches.iter().for_each(|switch| policy.apply_switch(*switch));
         policy
     }
 
-    /// Whether a mechanism is off.
-    pub fn is_without(&self, switch: Switch) -> bool {
-        self.without.contains(&switch)
+    /// Whether a mechanism is disabled.
+    pub fn is_disabled(&self, switch: Switch) -> bool {
+        self.disabled.contains(&switch)
     }
 
-    /// Turns those off that are thresholds; the others are asked for by [`Self::is_without`].
-    fn switch_off(&mut self, switch: Switch) {
+    /// Disables a mechanism that depends on a threshold. The simulation checks the others with
+    /// [`Self::is_disabled`].
+    fn apply_switch(&mut self, switch: Switch) {
         let place = &mut self.place;
         match switch {
             Switch::SlowProbes => {
                 place.probe_after_slow = place.probe_after_usual;
                 place.probe_after_slow_idle = place.probe_after_usual;
             }
-            Switch::Crowding => place.contention_limit = NEVER,
-            Switch::Home => place.cross_domain_cost = 0.0,
+            Switch::Contention => place.contention_limit = NEVER,
+            Switch::LocalPreference => place.cross_domain_cost = 0.0,
             Switch::Sample => place.sample_size = ALL_SERVERS,
             Switch::Jitter => place.jitter = 0.0,
-            Switch::Waiting => self.queue.max_waiting = 0,
-            Switch::Questions | Switch::Sharing | Switch::OwnSends | Switch::Probes => {}
+            Switch::Queueing => self.queue.max_waiting = 0,
+            Switch::Queries | Switch::Sharing | Switch::OwnSends | Switch::Probes => {}
         }
     }
 
-    /// The same with a threshold multiplied by `factor`.
+    /// Returns this policy with a threshold multiplied by `factor`.
     #[must_use]
-    pub fn scaled(&self, knob: Knob, factor: f32) -> Self {
+    pub fn scaled(&self, threshold: Threshold, factor: f32) -> Self {
         let mut policy = self.clone();
         let Self { place, queue, .. } = &mut policy;
         let span = |span: &mut Micros| *span = Micros((span.0 as f32 * factor) as u64);
-        match knob {
-            Knob::PaceFades => span(&mut place.observation_decay),
-            Knob::Crossing => place.cross_domain_cost *= factor,
-            Knob::FillCost => place.fill_cost *= factor,
-            Knob::Jitter => place.jitter *= factor,
-            Knob::Sample => {
+        match threshold {
+            Threshold::PaceFades => span(&mut place.observation_decay),
+            Threshold::Crossing => place.cross_domain_cost *= factor,
+            Threshold::FillCost => place.fill_cost *= factor,
+            Threshold::Jitter => place.jitter *= factor,
+            Threshold::Sample => {
                 place.sample_size = ((place.sample_size as f32 * factor) as usize).max(1)
             }
-            Knob::Slower => place.slower_tolerance *= factor,
-            Knob::Failure => place.failure_cost *= factor,
-            Knob::FailureFades => span(&mut place.failure_half_life),
-            Knob::LookAtUsual => span(&mut place.probe_after_usual),
-            Knob::LookAtSlow => span(&mut place.probe_after_slow),
-            Knob::LookAtSlowCalm => span(&mut place.probe_after_slow_idle),
-            Knob::ScarceFrom => place.scarcity_threshold *= factor,
-            Knob::CrowdingLimit => place.contention_limit *= factor,
-            Knob::Margin => queue.margin *= factor,
-            Knob::LateShare => queue.late_share *= factor,
-            Knob::NoLateFor => span(&mut queue.late_cooldown),
-            Knob::LeastRetryAfter => span(&mut queue.min_retry_after),
-            Knob::RetryShare => queue.max_retry_share *= factor,
+            Threshold::Slower => place.slower_tolerance *= factor,
+            Threshold::Failure => place.failure_cost *= factor,
+            Threshold::FailureFades => span(&mut place.failure_half_life),
+            Threshold::LookAtUsual => span(&mut place.probe_after_usual),
+            Threshold::LookAtSlow => span(&mut place.probe_after_slow),
+            Threshold::LookAtSlowCalm => span(&mut place.probe_after_slow_idle),
+            Threshold::ScarceFrom => place.scarcity_threshold *= factor,
+            Threshold::CrowdingLimit => place.contention_limit *= factor,
+            Threshold::Margin => queue.margin *= factor,
+            Threshold::LateShare => queue.late_share *= factor,
+            Threshold::NoLateFor => span(&mut queue.late_cooldown),
+            Threshold::LeastRetryAfter => span(&mut queue.min_retry_after),
+            Threshold::RetryShare => queue.max_retry_share *= factor,
         }
         policy
     }
 }
 
-/// A threshold of the policy.
+/// A threshold of the policy. The names of the variants are printed in tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Knob {
+pub enum Threshold {
     /// [`PlaceConfig::observation_decay`].
     PaceFades,
     /// [`PlaceConfig::cross_domain_cost`].
@@ -124,8 +126,8 @@
     RetryShare,
 }
 
-impl Knob {
-    /// All of them, in the order in which tables show them.
+impl Threshold {
+    /// All thresholds, in the order of the tables.
     pub const fn all() -> &'static [Self] {
         &[
             Self::PaceFades,
--- a/crates/galenapath-lab/src/switch.rs
+++ b/crates/galenapath-lab/src/switch.rs
@@ -1,49 +1,50 @@
-//! Mechanisms that can be switched off.
+//! Mechanisms that can be disabled in a simulation.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// A mechanism of the gateway that a play goes without.
+/// A mechanism of the gateway that a simulation can disable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Switch {
-    /// The question to a server before a request goes there.
-    Questions,
-    /// Loads that instances tell each other.
+    /// Load queries before a request is sent.
+    Queries,
+    /// Load updates between instances.
     Sharing,
-    /// The load that a send makes, told at once.
+    /// Load updates about the instance's own sends, before the server answers.
     OwnSends,
-    /// Probes of slow servers more often than of others.
+    /// More frequent probes of slow servers.
     SlowProbes,
     /// All probes.
     Probes,
-    /// The wait for a server; without it what finds none is refused.
-    Waiting,
-    /// The last slots left free where crowding costs more than they bring.
-    Crowding,
-    /// The preference for servers of the own domain.
-    Home,
-    /// The choice among a sample of the servers.
+    /// Waiting for a server. Without it, a request that cannot be assigned a server at once is
+    /// rejected.
+    Queueing,
+    /// Leaving the last slots of a server free where contention costs more than they gain.
+    Contention,
+    /// Preference for servers of the local domain.
+    LocalPreference,
+    /// Choosing among a sample of the servers.
     Sample,
-    /// Chance in the choice.
+    /// Randomness in the choice.
     Jitter,
 }
 
-/// All switches.
+/// All switches, in the order of the tables.
 pub(crate) const ALL: [Switch; 10] = [
-    Switch::Questions,
+    Switch::Queries,
     Switch::Sharing,
     Switch::OwnSends,
     Switch::SlowProbes,
     Switch::Probes,
-    Switch::Waiting,
-    Switch::Crowding,
-    Switch::Home,
+    Switch::Queueing,
+    Switch::Contention,
+    Switch::LocalPreference,
     Switch::Sample,
     Switch::Jitter,
 ];
 
 impl Switch {
-    /// All of them, in the order in which tables show them.
+    /// All switches, in the order of the tables.
     pub const fn all() -> &'static [Self] {
         &ALL
     }
@@ -51,14 +52,14 @@
     /// Its name on the command line.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::Questions => "questions",
+            Self::Queries => "questions",
             Self::Sharing => "sharing",
             Self::OwnSends => "own-sends",
             Self::SlowProbes => "slow-probes",
             Self::Probes => "probes",
-            Self::Waiting => "waiting",
-            Self::Crowding => "crowding",
-            Self::Home => "home",
+            Self::Queueing => "waiting",
+            Self::Contention => "crowding",
+            Self::LocalPreference => "home",
             Self::Sample => "sample",
             Self::Jitter => "jitter",
         }
@@ -71,9 +72,9 @@
     }
 }
 
-/// A name that is no switch's.
+/// The error for a name that is not the name of a switch.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("`{name}` is no mechanism; there are: {}", ALL.map(Switch::as_str).join(", "))]
+#[error("unknown mechanism `{name}`; known: {}", ALL.map(Switch::as_str).join(", "))]
 pub struct UnknownSwitch {
     /// The name.
     pub name: String,
--- a/crates/galenapath-lab/tests/deployment.rs
+++ b/crates/galenapath-lab/tests/deployment.rs
@@ -1,8 +1,8 @@
-//! Deployment files and names on the command line.
+//! Tests of deployment files and of the switch names on the command line.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use galenapath_lab::{Deployment, Knob, Policy, Switch};
+use galenapath_lab::{Deployment, Policy, Switch, Threshold};
 
 const GOOD: &str = include_str!("../deployments/three-slots.toml");
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn parse_shipped_files_accepted() {
+fn parse_shipped_files() {
     Deployment::parse("x.toml", GOOD).unwrap();
     Deployment::parse("y.toml", include_str!("../deployments/six-slots.toml")).unwrap();
 }
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn switch_names_read_back_and_unknown_ones_explained() {
+fn switch_from_str_known_and_unknown_names() {
     for switch in Switch::all() {
         assert_eq!(switch.as_str().parse::<Switch>().unwrap(), *switch);
     }
@@ -46,9 +46,9 @@
 #[test]
 fn scaled_changes_one_threshold() {
     let shipping = Policy::default();
-    for knob in Knob::all() {
-        let half = shipping.scaled(*knob, 0.5);
-        assert_ne!(half, shipping, "{knob:?}");
-        assert_eq!(shipping.scaled(*knob, 1.0), shipping, "{knob:?}");
+    for threshold in Threshold::all() {
+        let half = shipping.scaled(*threshold, 0.5);
+        assert_ne!(half, shipping, "{threshold:?}");
+        assert_eq!(shipping.scaled(*threshold, 1.0), shipping, "{threshold:?}");
     }
 }
