--- a/benches/request_path.rs
+++ b/benches/request_path.rs
@@ -1,7 +1,8 @@
-//! Processor time of a gateway: for a request of each kind, and for a second without any.
+//! Processor time of a gateway for a request of each kind, and for a second without requests.
 //!
-//! `cargo bench --bench request_path`. The time is that of the instance's process alone, user and kernel, from the
-//! scheduler's own account; callers and servers are other processes or threads.
+//! Run with `cargo bench --bench request_path`. Only the instance's own process counts, with its
+//! user and kernel time as the scheduler accounts it; callers and servers run in other processes
+//! or threads.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a bench fails by panicking")]
 
@@ -9,17 +10,17 @@
 mod support;
 
 use std::time::Duration;
-use support::callers::Kept;
+use support::callers::PersistentConnection;
 use support::{Gateway, World};
 
-/// Requests of one kind.
+/// Number of requests of each kind.
 const REQUESTS: u32 = 2_000;
 
-/// Time for which an instance without requests is looked at.
+/// Time over which the cost of an instance without requests is averaged.
 const IDLE: Duration = Duration::from_secs(5);
 
-/// Processor time of a process so far.
-fn spent(pid: u32) -> Duration {
+/// Processor time that a process has used since its start.
+fn processor_time(pid: u32) -> Duration {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).unwrap();
     let nanos = tasks.map(|task| {
         let account = std::fs::read_to_string(task.unwrap().path().join("schedstat")).unwrap();
@@ -28,11 +29,11 @@
     Duration::from_nanos(nanos.sum())
 }
 
-/// Processor time for each of `REQUESTS` requests.
+/// Average processor time of one request over `REQUESTS` requests.
 fn per_request(gateway: &Gateway, mut send: impl FnMut(u32)) -> Duration {
-    let before = spent(gateway.pid());
+    let before = processor_time(gateway.pid());
     (0..REQUESTS).for_each(&mut send);
-    (spent(gateway.pid()) - before) / REQUESTS
+    (processor_time(gateway.pid()) - before) / REQUESTS
 }
 
 fn head(line: &str, n: u32) -> String {
@@ -46,27 +47,27 @@
     for (_, server) in &world.servers {
         server.set_work(Duration::ZERO);
     }
-    world.of("load").iter().for_each(|server| server.set_body(90_000));
-    let gateway = Gateway::ready(&world, &[]);
+    world.servers_of("load").iter().for_each(|server| server.set_body(90_000));
+    let gateway = Gateway::start_ready(&world, &[]);
     std::thread::sleep(IDLE);
-    let before = spent(gateway.pid());
+    let before = processor_time(gateway.pid());
     std::thread::sleep(IDLE);
-    let idle = (spent(gateway.pid()) - before).div_f64(IDLE.as_secs_f64());
+    let idle = (processor_time(gateway.pid()) - before).div_f64(IDLE.as_secs_f64());
     println!("idle, for a second: {idle:?}");
-    for (what, line, body) in [
+    for (label, line, body) in [
         ("lookup", "GET /look/1", ""),
         ("filing", "POST /file/1", "a filing"),
         ("download of 90 KB", "GET /load/1", ""),
     ] {
-        let mut kept = Kept::open(gateway.callers()).unwrap();
+        let mut connection = PersistentConnection::open(gateway.callers()).unwrap();
         let cost = per_request(&gateway, |n| {
-            let answer = kept.ask(&head(line, n), body.as_bytes()).unwrap();
-            assert_eq!(answer.status, 200, "{what}");
+            let answer = connection.send_request(&head(line, n), body.as_bytes()).unwrap();
+            assert_eq!(answer.status, 200, "{label}");
         });
-        println!("{what}, kept connection: {cost:?}");
+        println!("{label}, persistent connection: {cost:?}");
     }
     let cost = per_request(&gateway, |n| {
-        assert_eq!(gateway.look(&format!("n{n}")).status, 200);
+        assert_eq!(gateway.send_lookup(&format!("n{n}")).status, 200);
     });
     println!("lookup, new connection: {cost:?}");
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway as a process: what callers, servers and the store see of it.
+//! The gateway as a process: its behaviour towards callers, backend servers and the store.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by panicking")]
 
--- a/tests/gateway/callers.rs
+++ b/tests/gateway/callers.rs
@@ -1,66 +1,66 @@
-//! What callers send and what they are answered.
+//! Requests of callers and the answers to them.
 
-use super::LIMIT;
+use super::WAIT_TIMEOUT;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// An answer as a caller sees it.
+/// An answer as a caller receives it.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// Status; 0 where the connection ended before a whole head.
+    /// Status; 0 if the connection ended before a complete head.
     pub status: u16,
-    /// Head in lower case.
+    /// Status line and headers in lower case.
     pub head: String,
-    /// Body, as far as it came.
+    /// The part of the body that was received.
     pub body: Vec<u8>,
-    /// Whether the body is as long as the head says.
+    /// Whether the body is as long as its `Content-Length`.
     pub is_whole: bool,
 }
 
 impl Answer {
-    /// Value of a header.
+    /// Value of the header `name`, which is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let start = format!("{name}: ");
         self.head.lines().find_map(|line| line.strip_prefix(start.as_str()))
     }
 }
 
-/// Sends a request on a connection of its own and reads the answer to the end.
-pub fn ask(address: SocketAddr, head: &str, body: &[u8]) -> Answer {
+/// Sends a request on a new connection and reads the answer up to the end of the connection.
+pub fn send_request(address: SocketAddr, head: &str, body: &[u8]) -> Answer {
     let Ok(mut io) = TcpStream::connect(address) else { return Answer::default() };
-    io.set_read_timeout(Some(LIMIT)).unwrap();
+    io.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let length =
         if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
     io.write_all(format!("{head}{length}Connection: close\r\n\r\n").as_bytes()).unwrap();
-    // An instance that refuses early may close before it has read all.
+    // An instance that rejects the request early may close before it has read the whole body.
     let _ = io.write_all(body);
     let mut bytes = Vec::new();
     let _ = io.read_to_end(&mut bytes);
     parse(&bytes)
 }
 
-/// A connection that a caller keeps for several requests.
-pub struct Kept(TcpStream);
+/// A connection that a caller uses for several requests.
+pub struct PersistentConnection(TcpStream);
 
-impl Kept {
-    /// Connects; `None` where nobody listens.
+impl PersistentConnection {
+    /// Connects; `None` if nothing listens on the address.
     pub fn open(address: SocketAddr) -> Option<Self> {
         let io = TcpStream::connect(address).ok()?;
-        io.set_read_timeout(Some(LIMIT)).ok()?;
+        io.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
         Some(Self(io))
     }
 
-    /// Sends a request and reads its answer; `None` where the connection ends before.
-    pub fn ask(&mut self, head: &str, body: &[u8]) -> Option<Answer> {
+    /// Sends a request and reads its answer; `None` if the connection ends before that.
+    pub fn send_request(&mut self, head: &str, body: &[u8]) -> Option<Answer> {
         let length = format!("Content-Length: {}\r\n\r\n", body.len());
         let mut request = format!("{head}{length}").into_bytes();
         request.extend_from_slice(body);
         self.0.write_all(&request).ok()?;
         let mut bytes = Vec::new();
-        let mut piece = [0; 4096];
+        let mut chunk = [0; 4096];
         loop {
-            let n = self.0.read(&mut piece).ok().filter(|n| *n > 0)?;
-            bytes.extend_from_slice(&piece[..n]);
+            let n = self.0.read(&mut chunk).ok().filter(|n| *n > 0)?;
+            bytes.extend_from_slice(&chunk[..n]);
             let answer = parse(&bytes);
             if answer.is_whole {
                 return Some(answer);
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -1,83 +1,88 @@
-//! Servers that name a rate limit, and callers that send more than that.
+//! Servers that state a rate limit, with callers that send more than that.
 
-use crate::support::{Gateway, World, config, fleet, press, wait_until};
+use crate::support::{Gateway, World, config, fleet, send_lookups, wait_until};
 use galenapath_dev::users_platform::ServerTrouble;
 use std::time::Duration;
 
-/// Requests a second that a server in need takes.
-const LIMIT: f64 = 2.0;
+/// Requests a second that a limited server accepts.
+const RATE_LIMIT: f64 = 2.0;
 
-/// Longer than the span over which a server counts.
-const LONG: Duration = Duration::from_secs(5);
+/// Longer than the four-second window over which a server counts requests.
+const LOAD_DURATION: Duration = Duration::from_secs(5);
 
 #[test]
-fn server_that_names_a_limit_gets_no_more_from_all_instances_together() {
+fn rate_limit_kept_by_all_instances_together() {
     let world = World::start();
     let gateways = fleet(&world);
-    press(&gateways, Duration::from_millis(1_500));
-    let limited = world.of("look")[0];
-    limited.set_limit(Some(LIMIT));
-    assert!(press(&gateways, LONG) > 0);
-    let most = limited.most_limited();
-    assert_eq!(limited.overruns(), 0, "{most} requests within four seconds");
-    // It gets a good part of what it takes.
-    assert!(most as f64 > LIMIT, "{most} requests within four seconds");
-    // And as much as any other once it names no limit.
+    send_lookups(&gateways, Duration::from_millis(1_500));
+    let limited = world.servers_of("look")[0];
+    limited.set_limit(Some(RATE_LIMIT));
+    assert!(send_lookups(&gateways, LOAD_DURATION) > 0);
+    let peak = limited.most_limited();
+    assert_eq!(limited.overruns(), 0, "{peak} requests within four seconds");
+    // The server must also get a good part of the requests that it accepts.
+    assert!(peak as f64 > RATE_LIMIT, "{peak} requests within four seconds");
+    // Without a limit it gets as many requests as any other server.
     limited.set_limit(None);
-    press(&gateways, Duration::from_secs(2));
+    send_lookups(&gateways, Duration::from_secs(2));
     let before = limited.seen().len();
-    press(&gateways, Duration::from_secs(1));
+    send_lookups(&gateways, Duration::from_secs(1));
     assert!(limited.seen().len() > before + 20, "{}", limited.seen().len() - before);
 }
 
 #[test]
-fn servers_that_all_name_a_limit_get_no_more_from_instances_that_restart() {
+fn rate_limit_kept_when_instance_restarts() {
     let world = World::start();
     let mut gateways = fleet(&world);
-    press(&gateways, Duration::from_millis(500));
-    for server in world.of("look") {
-        server.set_limit(Some(LIMIT));
+    send_lookups(&gateways, Duration::from_millis(500));
+    for server in world.servers_of("look") {
+        server.set_limit(Some(RATE_LIMIT));
     }
-    press(&gateways, Duration::from_secs(2));
+    send_lookups(&gateways, Duration::from_secs(2));
     gateways[1].kill_and_start();
-    press(&gateways, LONG);
-    for server in world.of("look") {
-        let most = server.most_limited();
-        assert_eq!(server.overruns(), 0, "{most} requests within four seconds");
+    send_lookups(&gateways, LOAD_DURATION);
+    for server in world.servers_of("look") {
+        let peak = server.most_limited();
+        assert_eq!(server.overruns(), 0, "{peak} requests within four seconds");
     }
 }
 
 #[test]
-fn limit_not_kept_twice_while_an_instance_stops() {
-    /// Requests within four seconds at the limit itself, one that the instance that stops has saved up, and one
-    /// that it sends before the others know.
-    const MOST: usize = 4 * LIMIT as usize + 2;
+fn rate_limit_not_exceeded_while_instance_stops() {
+    /// Requests within four seconds at the limit itself, plus one that the stopping instance has
+    /// left in its token bucket and one that it sends before the others learn that it stops.
+    const MAX_REQUESTS: usize = 4 * RATE_LIMIT as usize + 2;
     let world = World::start();
     let mut gateways = fleet(&world);
-    press(&gateways, Duration::from_millis(500));
-    let limited = world.of("look");
-    limited.iter().for_each(|server| server.set_limit(Some(LIMIT)));
-    press(&gateways, Duration::from_secs(1));
-    // One of them sends to each server; none starts again, since it would have to be told first.
+    send_lookups(&gateways, Duration::from_millis(500));
+    let limited = world.servers_of("look");
+    limited.iter().for_each(|server| server.set_limit(Some(RATE_LIMIT)));
+    send_lookups(&gateways, Duration::from_secs(1));
+    // Stops all but one in turn, and so also instances that send to a limited server. None is
+    // restarted, because a new one would first have to learn the limit.
     for n in 0..gateways.len() - 1 {
         gateways[n].signal("-TERM");
-        press(&gateways[n..], Duration::from_millis(3_400));
+        send_lookups(&gateways[n..], Duration::from_millis(3_400));
         gateways[n].wait();
     }
     for server in limited {
-        assert!(server.most_limited() <= MOST, "{} within four seconds", server.most_limited());
+        assert!(
+            server.most_limited() <= MAX_REQUESTS,
+            "{} within four seconds",
+            server.most_limited()
+        );
     }
 }
 
 #[test]
-fn limit_outlives_a_configuration_that_leaves_its_service_out() {
+fn rate_limit_survives_configuration_without_service() {
     let world = World::start();
-    let gateways = [Gateway::ready(&world, &[])];
-    let limited = world.of("look")[0];
-    limited.set_limit(Some(LIMIT));
+    let gateways = [Gateway::start_ready(&world, &[])];
+    let limited = world.servers_of("look")[0];
+    limited.set_limit(Some(RATE_LIMIT));
     let has = |line: &str| gateways[0].metrics().contains(line);
-    wait_until("word of a limit", || {
-        press(&gateways, Duration::from_millis(100));
+    wait_until("the rate limit to be known", || {
+        send_lookups(&gateways, Duration::from_millis(100));
         has("galenapath_limited_servers 1\n")
     });
     let mut without = config(2, &[]);
@@ -92,56 +97,58 @@
 }
 
 #[test]
-fn instance_that_starts_is_told_of_limits_before_it_sends_anything() {
+fn instance_starting_learns_rate_limits_before_sending() {
     let world = World::start();
     let mut gateways = fleet(&world);
-    let limited = world.of("look")[0];
-    limited.set_limit(Some(LIMIT));
-    let knows = |gateway: &Gateway| gateway.metrics().contains("galenapath_limited_servers 1\n");
-    wait_until("word of a limit", || {
-        press(&gateways, Duration::from_millis(100));
-        gateways.iter().all(knows)
+    let limited = world.servers_of("look")[0];
+    limited.set_limit(Some(RATE_LIMIT));
+    let has_limit =
+        |gateway: &Gateway| gateway.metrics().contains("galenapath_limited_servers 1\n");
+    wait_until("the rate limit to be known", || {
+        send_lookups(&gateways, Duration::from_millis(100));
+        gateways.iter().all(has_limit)
     });
     gateways[1].kill_and_start();
     wait_until("readiness", || gateways[1].is_ready());
-    // A heartbeat tells the others that it is ready, and one of them tells it.
+    // Its heartbeat reports to the others that it is ready, and one of them sends it the limits.
     std::thread::sleep(Duration::from_millis(300));
-    assert!(knows(&gateways[1]));
+    assert!(has_limit(&gateways[1]));
 }
 
 #[test]
-fn limit_not_ended_by_a_refusal_that_does_not_name_it() {
+fn rate_limit_not_ended_by_rejection_without_limit() {
     let world = World::start();
-    let gateways = [Gateway::ready(&world, &[])];
-    let limited = world.of("look")[0];
+    let gateways = [Gateway::start_ready(&world, &[])];
+    let limited = world.servers_of("look")[0];
     limited.set_limit(Some(20.0));
-    let lines = |is_limited: bool| {
+    let count_changes = |is_limited: bool| {
         let log = gateways[0].log();
         let is_it = |line: &&serde_json::Value| line["is_limited"] == is_limited;
         log.iter().filter(|line| line["event"] == "server rate limit changed").filter(is_it).count()
     };
-    wait_until("word of a limit", || {
-        press(&gateways, Duration::from_millis(100));
-        lines(true) > 0
+    wait_until("the rate limit to be known", || {
+        send_lookups(&gateways, Duration::from_millis(100));
+        count_changes(true) > 0
     });
-    // The limit falls to an instance a second after its start.
-    press(&gateways, Duration::from_millis(1_200));
+    // An instance is assigned the whole limit one second after its start.
+    send_lookups(&gateways, Duration::from_millis(1_200));
     limited.set_trouble(ServerTrouble::Shed);
-    press(&gateways, Duration::from_millis(500));
-    assert_eq!(lines(false), 0);
+    send_lookups(&gateways, Duration::from_millis(500));
+    assert_eq!(count_changes(false), 0);
 }
 
 #[test]
-fn limit_told_to_instances_that_serve_nobody() {
+fn rate_limit_reported_to_instances_without_callers() {
     let world = World::start();
     let gateways = fleet(&world);
-    world.of("look")[0].set_limit(Some(LIMIT));
-    let knows = |gateway: &Gateway| gateway.metrics().contains("galenapath_limited_servers 1\n");
-    wait_until("word of a limit", || {
-        press(&gateways[..1], Duration::from_millis(100));
-        knows(&gateways[0])
+    world.servers_of("look")[0].set_limit(Some(RATE_LIMIT));
+    let has_limit =
+        |gateway: &Gateway| gateway.metrics().contains("galenapath_limited_servers 1\n");
+    wait_until("the rate limit to be known", || {
+        send_lookups(&gateways[..1], Duration::from_millis(100));
+        has_limit(&gateways[0])
     });
     std::thread::sleep(Duration::from_millis(200));
-    // A stray request may come to any of them.
-    assert!(gateways.iter().all(knows));
+    // Any instance may receive a request, even one that callers are not given.
+    assert!(gateways.iter().all(has_limit));
 }
--- a/tests/gateway/press.rs
+++ b/tests/gateway/load.rs
@@ -1,13 +1,13 @@
-//! Load on several instances at once.
+//! Load on several instances at the same time.
 
 use super::{Gateway, World};
 use std::time::{Duration, Instant};
 
-/// Threads that send lookups one after the other.
+/// Number of threads, each of which sends lookups one after the other.
 const LOOKUP_THREADS: usize = 6;
 
-/// Sends lookups to all instances for `span`; returns how many were answered.
-pub fn press(gateways: &[Gateway], span: Duration) -> usize {
+/// Sends lookups to all instances in turn for `span`; returns how many were answered with 200.
+pub fn send_lookups(gateways: &[Gateway], span: Duration) -> usize {
     let end = Instant::now() + span;
     std::thread::scope(|scope| {
         let callers: Vec<_> = (0..LOOKUP_THREADS)
@@ -19,7 +19,7 @@
                             break;
                         }
                         let gateway = &gateways[(caller + n) % gateways.len()];
-                        let answer = gateway.look(&format!("w{caller}-{n}"));
+                        let answer = gateway.send_lookup(&format!("w{caller}-{n}"));
                         answered += usize::from(answer.status == 200);
                         std::thread::sleep(Duration::from_millis(10));
                     }
@@ -31,11 +31,11 @@
     })
 }
 
-/// Three instances that know each other.
+/// Starts three instances and waits until they know each other.
 pub fn fleet(world: &World) -> Vec<Gateway> {
-    let mut gateways = vec![Gateway::ready(world, &[])];
+    let mut gateways = vec![Gateway::start_ready(world, &[])];
     for _ in 0..2 {
-        let next = Gateway::ready(world, &[&gateways[0]]);
+        let next = Gateway::start_ready(world, &[&gateways[0]]);
         gateways.push(next);
     }
     gateways.iter().for_each(|gateway| gateway.wait_for_peers(2));
--- a/tests/gateway/pauses.rs
+++ b/tests/gateway/pauses.rs
@@ -1,58 +1,58 @@
-//! Servers that turn requests away and say for how long they want nothing.
+//! Servers that reject requests and state for how long they are paused.
 
-use crate::support::{Gateway, World, press, wait_until};
+use crate::support::{Gateway, World, send_lookups, wait_until};
 use galenapath_dev::users_platform::ServerTrouble;
 use std::time::{Duration, Instant};
 
-/// Time for which a server wants nothing.
+/// Time for which a server is paused.
 const PAUSE: Duration = Duration::from_secs(2);
 
-/// An instance that has run for long enough to probe servers.
-fn settled(world: &World) -> Gateway {
-    let gateway = Gateway::ready(world, &[]);
-    wait_until("a probe", || world.of("file")[0].probes() > 0);
+/// Starts an instance and waits until it probes servers.
+fn start_and_wait_for_probe(world: &World) -> Gateway {
+    let gateway = Gateway::start_ready(world, &[]);
+    wait_until("a probe", || world.servers_of("file")[0].probes() > 0);
     gateway
 }
 
 #[test]
-fn server_that_wants_nothing_for_a_while_gets_nothing() {
-    for trouble in [ServerTrouble::Shed, ServerTrouble::Busy] {
+fn paused_server_gets_nothing() {
+    for fault in [ServerTrouble::Shed, ServerTrouble::Busy] {
         let world = World::start();
-        let gateways = [settled(&world)];
-        let paused = world.of("look")[0];
+        let gateways = [start_and_wait_for_probe(&world)];
+        let paused = world.servers_of("look")[0];
         paused.set_pause(Some(PAUSE));
-        paused.set_trouble(trouble);
-        let noted = || gateways[0].log().iter().any(|l| l["event"] == "server paused");
-        let answered = press(&gateways, Duration::from_millis(300));
+        paused.set_trouble(fault);
+        let is_logged = || gateways[0].log().iter().any(|l| l["event"] == "server paused");
+        let answered = send_lookups(&gateways, Duration::from_millis(300));
         assert!(answered > 0);
         paused.set_trouble(ServerTrouble::None);
-        press(&gateways, Duration::from_millis(1_500));
-        assert_eq!(paused.arrivals_in_pause(), 0, "{trouble:?}");
-        assert!(noted());
-        // And as much as any other afterwards.
+        send_lookups(&gateways, Duration::from_millis(1_500));
+        assert_eq!(paused.arrivals_in_pause(), 0, "{fault:?}");
+        assert!(is_logged());
+        // After the pause it gets requests again.
         let before = paused.seen().len();
         wait_until("a request", || {
-            press(&gateways, Duration::from_millis(100));
+            send_lookups(&gateways, Duration::from_millis(100));
             paused.seen().len() > before
         });
     }
 }
 
 #[test]
-fn servers_that_all_want_nothing_refused_at_once_with_the_time_left() {
+fn paused_servers_only_refused_at_once_with_retry_after() {
     let world = World::start();
-    let gateway = settled(&world);
-    for server in world.of("file") {
+    let gateway = start_and_wait_for_probe(&world);
+    for server in world.servers_of("file") {
         server.set_pause(Some(PAUSE));
         server.set_trouble(ServerTrouble::Shed);
     }
-    gateway.file("pa0");
-    gateway.file("pa1");
+    gateway.send_filing("pa0");
+    gateway.send_filing("pa1");
     let began = Instant::now();
-    let answer = gateway.file("pa2");
+    let answer = gateway.send_filing("pa2");
     assert_eq!(answer.status, 503);
     assert!(began.elapsed() < Duration::from_millis(100), "{:?}", began.elapsed());
-    let told: f64 = answer.header("retry-after").unwrap().parse().unwrap();
-    assert!((1.0..=2.0).contains(&told), "{told} s");
+    let retry_after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
+    assert!((1.0..=2.0).contains(&retry_after), "{retry_after} s");
     assert_eq!(gateway.log_of("pa2")["sends"], 0);
 }
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -1,6 +1,6 @@
-//! What callers get for their requests.
+//! How requests of callers are answered, from routing to log lines.
 
-use crate::support::{Gateway, LIMIT, World, ask, config, wait_until};
+use crate::support::{Gateway, WAIT_TIMEOUT, World, config, send_request, wait_until};
 use galenapath_dev::users_platform::ServerTrouble;
 use serde_json::json;
 use std::io::{Read, Write};
@@ -10,20 +10,20 @@
 #[test]
 fn requests_of_each_kind_answered() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
-    for server in world.of("load") {
+    let gateway = Gateway::start_ready(&world, &[]);
+    for server in world.servers_of("load") {
         server.set_body(600_000);
     }
-    let look = gateway.look("a1");
-    assert_eq!((look.status, look.is_whole), (200, true));
-    assert_eq!(look.header("x-response-signature"), Some("3e1b.07"));
-    assert_eq!(look.header("x-attempt-id"), Some("a1"));
-    assert_eq!(look.header("x-backend-load"), None);
-    let file = gateway.file("a2");
-    assert_eq!((file.status, file.is_whole), (200, true));
-    let load = gateway.request("GET", "/load/1", "a3", 1_500, b"");
-    assert_eq!((load.status, load.is_whole, load.body.len()), (200, true, 600_000));
-    let seen = world.of("file").iter().flat_map(|server| server.seen()).next().unwrap();
+    let lookup = gateway.send_lookup("a1");
+    assert_eq!((lookup.status, lookup.is_whole), (200, true));
+    assert_eq!(lookup.header("x-response-signature"), Some("3e1b.07"));
+    assert_eq!(lookup.header("x-attempt-id"), Some("a1"));
+    assert_eq!(lookup.header("x-backend-load"), None);
+    let filing = gateway.send_filing("a2");
+    assert_eq!((filing.status, filing.is_whole), (200, true));
+    let download = gateway.request("GET", "/load/1", "a3", 1_500, b"");
+    assert_eq!((download.status, download.is_whole, download.body.len()), (200, true, 600_000));
+    let seen = world.servers_of("file").iter().flat_map(|server| server.seen()).next().unwrap();
     assert_eq!((seen.line.as_str(), seen.id.as_str()), ("POST /file/1", "a2"));
     assert_eq!(seen.body, b"a filing");
     assert!(seen.left_ms <= 1_500 && seen.left_ms > 1_000, "{}", seen.left_ms);
@@ -32,22 +32,25 @@
 #[test]
 fn requests_without_route_refused() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
+    let gateway = Gateway::start_ready(&world, &[]);
     assert_eq!(gateway.request("GET", "/none/1", "b1", 900, b"").status, 404);
     let at = gateway.callers();
-    assert_eq!(ask(at, "GET /look/1 HTTP/1.1\r\nHost: other.example\r\n", b"").status, 404);
-    assert_eq!(ask(at, "GET /look/1 HTTP/1.1\r\n", b"").status, 400);
+    assert_eq!(
+        send_request(at, "GET /look/1 HTTP/1.1\r\nHost: other.example\r\n", b"").status,
+        404
+    );
+    assert_eq!(send_request(at, "GET /look/1 HTTP/1.1\r\n", b"").status, 400);
     let twice = "GET /look/1 HTTP/1.1\r\nHost: h.example\r\nHost: h.example\r\n";
-    assert_eq!(ask(at, twice, b"").status, 400);
+    assert_eq!(send_request(at, twice, b"").status, 400);
     let large = vec![b'x'; 200_000];
     assert_eq!(gateway.request("POST", "/file/1", "b2", 900, &large).status, 413);
-    assert_eq!(world.ran("file") + world.ran("look"), 0);
+    assert_eq!(world.run_count("file") + world.run_count("look"), 0);
 }
 
 #[test]
 fn heads_that_cannot_be_framed_closed() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
+    let gateway = Gateway::start_ready(&world, &[]);
     for head in [
         "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n",
         "GET /look/1 HTTP/9.9\r\nHost: h.example\r\n\r\n",
@@ -56,45 +59,46 @@
          Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     ] {
         let mut io = TcpStream::connect(gateway.callers()).unwrap();
-        io.set_read_timeout(Some(LIMIT)).unwrap();
+        io.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         io.write_all(head.as_bytes()).unwrap();
         let began = Instant::now();
         let mut answer = String::new();
-        // The rest of what was sent is unread, so that the end may be a reset.
+        // The instance closes with unread bytes, which may reset the connection.
         let _ = io.read_to_string(&mut answer);
         assert!(answer.starts_with("HTTP/1.1 400") || answer.starts_with("HTTP/1.1 505"), "{head}");
         assert!(began.elapsed() < Duration::from_secs(2), "{head}");
     }
-    assert_eq!(world.ran("file") + world.ran("look"), 0);
+    assert_eq!(world.run_count("file") + world.run_count("look"), 0);
 }
 
 #[test]
-fn filing_not_run_told_so() {
+fn filing_not_run_reported() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
-    for server in world.of("file") {
+    let gateway = Gateway::start_ready(&world, &[]);
+    for server in world.servers_of("file") {
         server.set_trouble(ServerTrouble::Shed);
     }
-    let answer = gateway.file("c1");
+    let answer = gateway.send_filing("c1");
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
-    assert_eq!(world.ran("file"), 0);
+    assert_eq!(world.run_count("file"), 0);
     assert_eq!(gateway.log_of("c1")["verdict"], "not-run");
 }
 
 #[test]
-fn caller_gone_cancels_its_work() {
+fn caller_disconnect_cancels_work() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
-    for server in world.of("look") {
+    let gateway = Gateway::start_ready(&world, &[]);
+    for server in world.servers_of("look") {
         server.set_pace(10_000);
     }
     let mut io = TcpStream::connect(gateway.callers()).unwrap();
     io.write_all(b"GET /look/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: k1\r\n\r\n").unwrap();
-    wait_until("the request", || world.ran("look") > 0);
+    wait_until("the request to reach a server", || world.run_count("look") > 0);
     drop(io);
-    let cancelled = || world.of("look").iter().map(|server| server.cancelled()).sum::<usize>();
-    wait_until("the end of the work", || cancelled() > 0);
+    let cancelled =
+        || world.servers_of("look").iter().map(|server| server.cancelled()).sum::<usize>();
+    wait_until("the work to be cancelled", || cancelled() > 0);
     assert_eq!(gateway.log_of("k1")["outcome"], "caller_left");
 }
 
@@ -102,8 +106,8 @@
 fn route_timeout_ends_the_request() {
     let world = World::start();
     world.store.put("op/config", &config(2, &[("file", "timeout_ms", json!(300))]));
-    let gateway = Gateway::ready(&world, &[]);
-    for server in world.of("file") {
+    let gateway = Gateway::start_ready(&world, &[]);
+    for server in world.servers_of("file") {
         server.set_trouble(ServerTrouble::Hang);
     }
     let began = Instant::now();
@@ -111,9 +115,9 @@
     let took = began.elapsed();
     assert_eq!(answer.status, 504);
     assert!(took >= Duration::from_millis(290) && took < Duration::from_millis(800), "{took:?}");
-    let left: Vec<u64> =
-        world.of("file").iter().flat_map(|s| s.seen()).map(|s| s.left_ms).collect();
-    assert!(left.iter().all(|left| *left <= 300), "{left:?}");
+    let deadlines: Vec<u64> =
+        world.servers_of("file").iter().flat_map(|s| s.seen()).map(|s| s.left_ms).collect();
+    assert!(deadlines.iter().all(|left_ms| *left_ms <= 300), "{deadlines:?}");
 }
 
 #[test]
@@ -121,19 +125,19 @@
     let world = World::start();
     let split = json!([{ "service": "look", "weight": 75 }, { "service": "load", "weight": 25 }]);
     world.store.put("op/config", &config(2, &[("look", "traffic_split", split)]));
-    let gateway = Gateway::ready(&world, &[]);
+    let gateway = Gateway::start_ready(&world, &[]);
     for n in 0..40 {
-        assert_eq!(gateway.look(&format!("n{n}")).status, 200);
+        assert_eq!(gateway.send_lookup(&format!("n{n}")).status, 200);
     }
-    let share = world.ran("look");
+    let share = world.run_count("look");
     assert!((29..=31).contains(&share), "{share}");
 }
 
 #[test]
 fn log_lines_explain_requests() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
-    assert_eq!(gateway.look("w1").status, 200);
+    let gateway = Gateway::start_ready(&world, &[]);
+    assert_eq!(gateway.send_lookup("w1").status, 200);
     let line = gateway.log_of("w1");
     for key in ["route", "service", "status", "outcome", "verdict", "took_ms", "steps", "config"] {
         assert!(!line[key].is_null(), "{key}: {line}");
@@ -147,29 +151,29 @@
 }
 
 #[test]
-fn settings_changed_taken_over_and_bad_ones_refused() {
+fn settings_changed_applied_and_bad_ones_refused() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
+    let gateway = Gateway::start_ready(&world, &[]);
     let has = |event: &str| gateway.log().iter().any(|line| line["event"] == event);
     gateway.signal("-HUP");
-    wait_until("the word", || has("reload: settings have not changed"));
+    wait_until("the reload without a change", || has("reload: settings have not changed"));
     gateway.change_settings("[callers]\nkeep_addresses = \"3s\"\n");
     gateway.signal("-HUP");
-    wait_until("the change", || has("reload: settings changed"));
+    wait_until("the reload with a change", || has("reload: settings changed"));
     assert_eq!(gateway.address_answer()["ttl_s"], 3.0);
     gateway.change_settings("[callers]\nkeep_addresses = \"never\"\n");
-    wait_until("the refusal, without a signal", || {
+    wait_until("the settings to be refused without a signal", || {
         has("settings refused; the last good ones stay in force")
     });
     assert_eq!(gateway.address_answer()["ttl_s"], 3.0);
-    assert_eq!(gateway.look("x1").status, 200);
+    assert_eq!(gateway.send_lookup("x1").status, 200);
 }
 
 #[test]
-fn first_request_asks_its_server() {
+fn first_request_queries_server_load() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
-    assert_eq!(gateway.file("y1").status, 200);
+    let gateway = Gateway::start_ready(&world, &[]);
+    assert_eq!(gateway.send_filing("y1").status, 200);
     let steps = gateway.log_of("y1")["steps"].as_str().unwrap().to_owned();
-    assert!(steps.contains(":sent:load"), "sent without knowledge: {steps}");
+    assert!(steps.contains(":sent:load"), "sent without a load observation: {steps}");
 }
--- a/tests/gateway/store.rs
+++ b/tests/gateway/store.rs
@@ -1,4 +1,4 @@
-//! The configuration, the list of backend servers, and a store that goes away.
+//! The configuration, the list of backend servers, and outages of the store.
 
 use crate::support::{Gateway, World, config, wait_until};
 use galenapath_dev::users_platform::KvTrouble;
@@ -9,19 +9,19 @@
 #[test]
 fn configuration_followed_and_never_reverted() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
-    assert_eq!(gateway.look("m1").status, 200);
+    let gateway = Gateway::start_ready(&world, &[]);
+    assert_eq!(gateway.send_lookup("m1").status, 200);
     let moved = config(3, &[("look", "service", json!("load"))]);
     world.store.put("op/config", &moved);
     wait_until("version 3", || gateway.metrics().contains("galenapath_config_version 3"));
-    let before = world.ran("load");
-    assert_eq!(gateway.look("m2").status, 200);
-    assert_eq!(world.ran("load"), before + 1);
+    let before = world.run_count("load");
+    assert_eq!(gateway.send_lookup("m2").status, 200);
+    assert_eq!(world.run_count("load"), before + 1);
     world.store.put("op/config", &config(2, &[]));
     world.store.put("op/config", &json!({ "version": "00000009", "resources": "broken" }));
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(gateway.look("m3").status, 200);
-    assert_eq!(world.ran("load"), before + 2);
+    assert_eq!(gateway.send_lookup("m3").status, 200);
+    assert_eq!(world.run_count("load"), before + 2);
     assert!(gateway.log().iter().any(|line| line["event"] == "configuration refused"));
 }
 
@@ -29,91 +29,99 @@
 fn lists_in_pages_and_dropped_history_read() {
     let world = World::start();
     world.store.set_page(2);
-    let gateway = Gateway::ready(&world, &[]);
+    let gateway = Gateway::start_ready(&world, &[]);
     assert!(gateway.metrics().contains("galenapath_servers 6"));
-    let (key, _) = world.of("look")[0].entry("look", "ready");
+    let (key, _) = world.servers_of("look")[0].entry("look", "ready");
     world.store.delete(&key);
     world.store.forget_history();
     wait_until("the shorter list", || gateway.metrics().contains("galenapath_servers 5"));
-    assert_eq!(gateway.look("p1").status, 200);
+    assert_eq!(gateway.send_lookup("p1").status, 200);
 }
 
 #[test]
-fn store_away_served_on_and_watched_again() {
-    for trouble in [KvTrouble::Silent, KvTrouble::Busy, KvTrouble::Limited, KvTrouble::Reset] {
+fn store_unavailable_requests_served_and_watch_resumed() {
+    for fault in [KvTrouble::Silent, KvTrouble::Busy, KvTrouble::Limited, KvTrouble::Reset] {
         let world = World::start();
-        let gateway = Gateway::ready(&world, &[]);
-        world.store.trouble(gateway.store, trouble);
-        let lost = |event: &str| gateway.log().iter().any(|line| line["event"] == event);
-        wait_until("the loss", || lost("the store did not answer"));
-        assert_eq!(gateway.look("q1").status, 200, "{trouble:?}");
+        let gateway = Gateway::start_ready(&world, &[]);
+        world.store.trouble(gateway.store, fault);
+        let has_logged = |event: &str| gateway.log().iter().any(|line| line["event"] == event);
+        wait_until("the loss of the store", || has_logged("the store did not answer"));
+        assert_eq!(gateway.send_lookup("q1").status, 200, "{fault:?}");
         world.store.put("op/config", &config(4, &[]));
         world.store.trouble(gateway.store, KvTrouble::None);
         wait_until("version 4", || gateway.metrics().contains("galenapath_config_version 4"));
-        assert!(lost("the store answers again"), "{trouble:?}");
+        assert!(has_logged("the store answers again"), "{fault:?}");
     }
 }
 
 #[test]
 fn entries_lapsed_in_an_outage_kept_for_two_seconds() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
+    let gateway = Gateway::start_ready(&world, &[]);
     world.store.trouble(gateway.store, KvTrouble::Reset);
-    let lost = || gateway.log().iter().any(|line| line["event"] == "the store did not answer");
-    wait_until("the loss", lost);
-    let entries: Vec<_> = world.of("look").iter().map(|s| s.entry("look", "ready")).collect();
+    let has_logged =
+        || gateway.log().iter().any(|line| line["event"] == "the store did not answer");
+    wait_until("the loss of the store", has_logged);
+    let entries: Vec<_> =
+        world.servers_of("look").iter().map(|s| s.entry("look", "ready")).collect();
     for (key, _) in &entries {
         world.store.delete(key);
     }
     world.store.trouble(gateway.store, KvTrouble::None);
     let removed = || gateway.log().iter().any(|line| line["event"] == "server removed");
-    wait_until("the removal", removed);
-    assert_eq!(gateway.look("r1").status, 200);
+    wait_until("a server to be removed", removed);
+    assert_eq!(gateway.send_lookup("r1").status, 200);
     let (key, entry) = &entries[0];
     world.store.put(key, entry);
-    wait_until("the end of the other", || gateway.metrics().contains("galenapath_servers 5"));
-    assert_eq!(gateway.look("r2").status, 200);
+    wait_until("the other entry to be dropped", || {
+        gateway.metrics().contains("galenapath_servers 5")
+    });
+    assert_eq!(gateway.send_lookup("r2").status, 200);
 }
 
 #[test]
-fn entry_of_another_writer_names_no_server() {
+fn entry_of_another_writer_ignored() {
     let world = World::start();
     world.store.put("servers/stranger", &json!({ "note": "left here by another program" }));
-    let gateway = Gateway::ready(&world, &[]);
+    let gateway = Gateway::start_ready(&world, &[]);
     wait_until("servers", || gateway.metrics().contains("galenapath_servers 6"));
-    assert_eq!(gateway.look("w1").status, 200);
-    // A good entry that turns bad under the same identity names no server.
-    let before = world.of("look")[0].seen().len();
-    let (key, mut entry) = world.of("look")[0].entry("look", "ready");
+    assert_eq!(gateway.send_lookup("w1").status, 200);
+    // An entry that becomes invalid under the same identity no longer names a server.
+    let before = world.servers_of("look")[0].seen().len();
+    let (key, mut entry) = world.servers_of("look")[0].entry("look", "ready");
     entry["state"] = json!("resting");
     world.store.put(&key, &entry);
     wait_until("five servers", || gateway.metrics().contains("galenapath_servers 5"));
     world.store.put_bytes("servers/i-file0", b"\xff\xfe no text");
     wait_until("four servers", || gateway.metrics().contains("galenapath_servers 4"));
     for n in 2..6 {
-        assert_eq!(gateway.look(&format!("w{n}")).status, 200);
+        assert_eq!(gateway.send_lookup(&format!("w{n}")).status, 200);
     }
-    assert_eq!(world.of("look")[0].seen().len(), before);
-    let told = gateway.log().into_iter().filter(|line| line["event"] == "entry names no server");
-    let told: Vec<String> =
-        told.map(|line| format!("{}: {}", line["server"], line["error"])).collect();
+    assert_eq!(world.servers_of("look")[0].seen().len(), before);
+    let messages =
+        gateway.log().into_iter().filter(|line| line["event"] == "entry names no server");
+    let messages: Vec<String> =
+        messages.map(|line| format!("{}: {}", line["server"], line["error"])).collect();
     for (id, why) in
         [("stranger", "service"), ("i-look0", "resting"), ("i-file0", "expected value")]
     {
-        assert!(told.iter().any(|line| line.contains(id) && line.contains(why)), "{id}: {told:?}");
+        assert!(
+            messages.iter().any(|line| line.contains(id) && line.contains(why)),
+            "{id}: {messages:?}"
+        );
     }
     assert!(!gateway.metrics().contains("galenapath_unreadable_entries_total 0"));
-    // And a good one again does.
+    // Once it is valid again, it names the server again.
     entry["state"] = json!("ready");
     world.store.put(&key, &entry);
     wait_until("five servers", || gateway.metrics().contains("galenapath_servers 5"));
 }
 
 #[test]
-fn instance_cut_from_the_store_told_by_its_peer() {
+fn instance_cut_off_from_store_updated_by_peer() {
     let world = World::start();
-    let first = Gateway::ready(&world, &[]);
-    let second = Gateway::ready(&world, &[&first]);
+    let first = Gateway::start_ready(&world, &[]);
+    let second = Gateway::start_ready(&world, &[&first]);
     first.wait_for_peers(1);
     second.wait_for_peers(1);
     world.store.trouble(second.store, KvTrouble::Silent);
@@ -130,22 +138,22 @@
 }
 
 #[test]
-fn instance_started_without_the_store_takes_all_from_its_peer() {
+fn instance_started_without_store_reads_all_from_peer() {
     let world = World::start();
-    let first = Gateway::ready(&world, &[]);
+    let first = Gateway::start_ready(&world, &[]);
     let second = Gateway::start(&world, &[&first]);
     world.store.trouble(second.store, KvTrouble::Silent);
     wait_until("readiness", || second.is_ready());
-    assert_eq!(second.look("s1").status, 200);
+    assert_eq!(second.send_lookup("s1").status, 200);
 }
 
 #[test]
-fn request_at_the_start_waits_for_what_is_missing() {
+fn request_at_start_waits_for_configuration() {
     let world = World::start();
     let store = world.store.listen().unwrap();
     world.store.trouble(store, KvTrouble::Busy);
     let gateway = Gateway::start_at(store, &[]);
-    // It listens, and does not know any route yet.
+    // The instance listens but does not know any route yet.
     wait_until("listening", || TcpStream::connect(gateway.callers()).is_ok());
     let platform = world.store.clone();
     let healing = std::thread::spawn(move || {
@@ -158,7 +166,7 @@
 }
 
 #[test]
-fn request_at_the_start_refused_when_nothing_comes() {
+fn request_at_start_refused_without_configuration() {
     let world = World::start();
     let store = world.store.listen().unwrap();
     world.store.trouble(store, KvTrouble::Busy);
@@ -170,25 +178,26 @@
 }
 
 #[test]
-fn watch_that_hears_nothing_costs_no_more_than_its_wait() {
+fn watch_that_receives_nothing_delays_change_by_its_wait_at_most() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
-    // It watches by now.
-    wait_until("a watch", || world.store.calls().iter().any(|call| call.ends_with("kv-watch")));
+    let gateway = Gateway::start_ready(&world, &[]);
+    wait_until("a watch on the store", || {
+        world.store.calls().iter().any(|call| call.ends_with("kv-watch"))
+    });
     world.store.trouble(gateway.store, KvTrouble::Deaf);
     let began = Instant::now();
     world.store.put("op/config", &config(5, &[]));
     wait_until("version 5", || gateway.metrics().contains("galenapath_config_version 5"));
-    // A change has to be in force 2.5 s after the store has acknowledged it.
+    // A change must be in force within 2.5 s after the store has acknowledged it.
     assert!(began.elapsed() < Duration::from_millis(2_500), "{:?}", began.elapsed());
 }
 
 #[test]
 fn change_between_two_reads_followed() {
     let world = World::start();
-    // The configuration is read by now, the list is not.
+    // The change happens after the configuration was read and before the list is read.
     world.store.change_before_read("servers/", "op/config", Some(&config(7, &[])));
-    let gateway = Gateway::ready(&world, &[]);
+    let gateway = Gateway::start_ready(&world, &[]);
     wait_until("version 7", || gateway.metrics().contains("galenapath_config_version 7"));
     let evacuate = ("op/evacuate/d1", json!({}));
     world.store.change_before_read("servers/", evacuate.0, Some(&evacuate.1));
@@ -200,17 +209,17 @@
 }
 
 #[test]
-fn calm_store_called_seldom() {
+fn store_without_changes_called_rarely() {
     let world = World::start();
-    let first = Gateway::ready(&world, &[]);
-    let others: Vec<Gateway> = (0..4).map(|_| Gateway::ready(&world, &[&first])).collect();
+    let first = Gateway::start_ready(&world, &[]);
+    let others: Vec<Gateway> = (0..4).map(|_| Gateway::start_ready(&world, &[&first])).collect();
     std::thread::sleep(Duration::from_secs(2));
     let before = world.store.calls().len();
     std::thread::sleep(Duration::from_secs(4));
     let calls: Vec<String> = world.store.calls()[before..].to_vec();
     let watches = calls.iter().filter(|call| call.ends_with("kv-watch")).count();
     let pings = calls.iter().filter(|call| call.ends_with("kv-key")).count();
-    // Two instances watch, whatever their number.
+    // Two instances watch the store, however many there are.
     assert!(watches <= 6, "{watches} watches of {} instances", others.len() + 1);
     assert!(pings <= 24, "{pings} pings");
 }
@@ -218,8 +227,8 @@
 #[test]
 fn large_configuration_in_force_on_many() {
     let world = World::start();
-    let first = Gateway::ready(&world, &[]);
-    let others: Vec<Gateway> = (0..9).map(|_| Gateway::ready(&world, &[&first])).collect();
+    let first = Gateway::start_ready(&world, &[]);
+    let others: Vec<Gateway> = (0..9).map(|_| Gateway::start_ready(&world, &[&first])).collect();
     let mut large = config(12, &[]);
     let route = large["resources"][1].clone();
     for n in 0..400 {
@@ -239,10 +248,10 @@
 }
 
 #[test]
-fn metrics_tell_ages_and_services() {
+fn metrics_show_ages_and_services() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
-    assert_eq!(gateway.look("ma").status, 200);
+    let gateway = Gateway::start_ready(&world, &[]);
+    assert_eq!(gateway.send_lookup("ma").status, 200);
     let value = |name: &str| {
         let text = gateway.metrics();
         let line = text.lines().find(|line| line.starts_with(name)).map(str::to_owned);
@@ -252,7 +261,11 @@
     assert_eq!(value(latency), Some(1.0));
     assert!(value("galenapath_load_age_seconds{service=\"look\"}").unwrap() < 1.0);
     assert_eq!(value("galenapath_peer_silence_seconds"), Some(0.0));
-    wait_until("a watch", || value("galenapath_store_age_seconds").is_some_and(|age| age < 1.0));
+    wait_until("a watch on the store", || {
+        value("galenapath_store_age_seconds").is_some_and(|age| age < 1.0)
+    });
     world.store.trouble(gateway.store, KvTrouble::Silent);
-    wait_until("age", || value("galenapath_store_age_seconds").is_some_and(|age| age > 1.0));
+    wait_until("the store's age to grow", || {
+        value("galenapath_store_age_seconds").is_some_and(|age| age > 1.0)
+    });
 }
--- a/tests/gateway/support.rs
+++ b/tests/gateway/support.rs
@@ -1,4 +1,4 @@
-//! Gateway instances as processes, beside stand-ins of the users' platform.
+//! Gateway instances as processes, with stand-ins for the rest of the users' platform.
 
 #![allow(dead_code, unused_imports, reason = "each test program uses a part of it")]
 
@@ -13,17 +13,17 @@
 
 #[path = "callers.rs"]
 pub mod callers;
-#[path = "press.rs"]
-mod press;
+#[path = "load.rs"]
+mod load;
 #[path = "world.rs"]
 mod world;
 
-pub use callers::{Answer, ask};
-pub use press::{fleet, press};
+pub use callers::{Answer, send_request};
+pub use load::{fleet, send_lookups};
 pub use world::{COLD_PER_SECOND, World, config};
 
-/// Longest wait for a condition or an answer.
-pub const LIMIT: Duration = Duration::from_secs(20);
+/// Longest time to wait for a condition or an answer.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 const CALLERS: u16 = 8101;
 const READINESS: u16 = 8102;
@@ -31,18 +31,18 @@
 const PEERS: u16 = 8104;
 const METRICS: u16 = 8105;
 
-/// Waits until `condition` holds.
+/// Waits until `condition` holds; panics after [`WAIT_TIMEOUT`].
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let end = Instant::now() + LIMIT;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < end, "{what} did not come");
+        assert!(Instant::now() < end, "timed out after {WAIT_TIMEOUT:?} waiting for {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A loopback address that no other test uses, in this process or another: ports are the same on all
-/// instances.
-fn own_ip() -> Ipv4Addr {
+/// A loopback address that no other test uses, in this process or in another one. It has to be
+/// unique because all instances use the same ports.
+fn unique_ip() -> Ipv4Addr {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -52,28 +52,28 @@
 /// A running instance; killed when dropped.
 pub struct Gateway {
     ip: Ipv4Addr,
-    /// Where it reaches the store; each instance has an address of its own.
+    /// Address at which it reaches the store, a different one for each instance.
     pub store: SocketAddr,
     settings: PathBuf,
-    first_settings: String,
+    base_settings: String,
     child: Child,
-    /// What it writes, where nobody reads it yet.
+    /// Its standard output, if no thread reads it.
     unread: Option<ChildStdout>,
     lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl Gateway {
-    /// Starts an instance that asks `seeds` who is there.
+    /// Starts an instance that learns the other instances from `seeds`.
     pub fn start(world: &World, seeds: &[&Gateway]) -> Self {
         Self::start_at(world.store.listen().unwrap(), seeds)
     }
 
     /// Starts an instance that reaches the store at `store`.
     pub fn start_at(store: SocketAddr, seeds: &[&Gateway]) -> Self {
-        let ip = own_ip();
-        // All instances of a deployment have the same seeds; the first one is its own.
-        let own = seeds.is_empty().then_some(ip);
-        let seeds = seeds.iter().map(|seed| seed.ip).chain(own);
+        let ip = unique_ip();
+        // All instances of a deployment have the same seeds. The first one is its own seed.
+        let own_seed = seeds.is_empty().then_some(ip);
+        let seeds = seeds.iter().map(|seed| seed.ip).chain(own_seed);
         let seeds: Vec<String> = seeds.map(|seed| format!("\"{seed}:1\"")).collect();
         let text = format!(
             "[instance]\nname = \"g{ip}\"\ndomain = \"d1\"\n\
@@ -87,10 +87,10 @@
         std::fs::write(&settings, &text).unwrap();
         let lines = Arc::default();
         let child = spawn(&settings, &lines);
-        Self { ip, store, settings, first_settings: text, child, unread: None, lines }
+        Self { ip, store, settings, base_settings: text, child, unread: None, lines }
     }
 
-    /// Starts an instance whose log nobody reads until [`Self::read_to_the_end`].
+    /// Starts an instance whose log is not read before [`Self::kill_and_read_log`].
     pub fn start_unread(world: &World) -> Self {
         let mut gateway = Self::start(world, &[]);
         gateway.kill();
@@ -99,8 +99,8 @@
         gateway
     }
 
-    /// Kills an instance whose log was not read and returns the lines that it left.
-    pub fn read_to_the_end(&mut self) -> Vec<String> {
+    /// Kills an instance whose log was not read and returns the lines that it wrote.
+    pub fn kill_and_read_log(&mut self) -> Vec<String> {
         self.kill();
         let mut text = String::new();
         self.unread.take().unwrap().read_to_string(&mut text).unwrap();
@@ -108,7 +108,7 @@
     }
 
     /// Starts an instance and waits until it is ready.
-    pub fn ready(world: &World, seeds: &[&Gateway]) -> Self {
+    pub fn start_ready(world: &World, seeds: &[&Gateway]) -> Self {
         let gateway = Self::start(world, seeds);
         wait_until("readiness", || gateway.is_ready());
         gateway
@@ -133,7 +133,7 @@
         self.child.wait().unwrap();
     }
 
-    /// Number of the process.
+    /// Identifier of the process.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
@@ -149,10 +149,10 @@
         self.child.wait().unwrap()
     }
 
-    /// Whether the platform finds the instance ready.
+    /// Whether the readiness check of the instance succeeds.
     pub fn is_ready(&self) -> bool {
         let at = SocketAddr::from((self.ip, READINESS));
-        ask(at, "GET /-/ready HTTP/1.1\r\nHost: x\r\n", b"").status == 200
+        send_request(at, "GET /-/ready HTTP/1.1\r\nHost: x\r\n", b"").status == 200
     }
 
     /// Where callers connect.
@@ -160,11 +160,11 @@
         SocketAddr::from((self.ip, CALLERS))
     }
 
-    /// The answer to the question where to connect.
+    /// The answer to a caller that resolves the name of its service to addresses.
     pub fn address_answer(&self) -> Value {
         let at = SocketAddr::from((self.ip, ADDRESSES));
-        let question = "GET /-/resolve?name=h.example&zone=d1 HTTP/1.1\r\nHost: x\r\n";
-        serde_json::from_slice(&ask(at, question, b"").body).unwrap_or_default()
+        let head = "GET /-/resolve?name=h.example&zone=d1 HTTP/1.1\r\nHost: x\r\n";
+        serde_json::from_slice(&send_request(at, head, b"").body).unwrap_or_default()
     }
 
     /// Waits until this instance knows of `count` evacuated failure domains.
@@ -173,52 +173,59 @@
         wait_until(&line, || self.metrics().contains(&line));
     }
 
-    /// Waits until this instance believes in `count` others.
+    /// Waits until this instance counts `count` others as reachable.
     pub fn wait_for_peers(&self, count: usize) {
         let line = format!("galenapath_peers {count}\n");
         wait_until(&line, || self.metrics().contains(&line));
     }
 
-    /// Replaces what follows the first settings in the file.
+    /// Rewrites the settings file as the settings at the first start followed by `more`.
     pub fn change_settings(&self, more: &str) {
-        let text = format!("{}\n{more}", self.first_settings);
+        let text = format!("{}\n{more}", self.base_settings);
         std::fs::write(&self.settings, text).unwrap();
     }
 
-    /// The addresses that a caller is told.
+    /// The addresses in the answer to a caller that resolves the name of its service.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let body = self.address_answer();
-        let told = body["addresses"].as_array().cloned().unwrap_or_default();
-        told.iter().filter_map(|text| text.as_str()?.parse().ok()).collect()
+        let addresses = body["addresses"].as_array().cloned().unwrap_or_default();
+        addresses.iter().filter_map(|text| text.as_str()?.parse().ok()).collect()
     }
 
     /// Sends a lookup.
-    pub fn look(&self, id: &str) -> Answer {
+    pub fn send_lookup(&self, id: &str) -> Answer {
         self.request("GET", "/look/1", id, 1_500, b"")
     }
 
     /// Sends a filing.
-    pub fn file(&self, id: &str) -> Answer {
+    pub fn send_filing(&self, id: &str) -> Answer {
         self.request("POST", "/file/1", id, 1_500, b"a filing")
     }
 
-    /// Sends a request.
-    pub fn request(&self, method: &str, path: &str, id: &str, wait: u64, body: &[u8]) -> Answer {
+    /// Sends a request with the identifier `id` and a caller timeout of `timeout_ms`.
+    pub fn request(
+        &self,
+        method: &str,
+        path: &str,
+        id: &str,
+        timeout_ms: u64,
+        body: &[u8],
+    ) -> Answer {
         let head = format!(
             "{method} {path} HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: {id}\r\n\
-             X-Request-Deadline-Ms: {wait}\r\n"
+             X-Request-Deadline-Ms: {timeout_ms}\r\n"
         );
-        ask(self.callers(), &head, body)
+        send_request(self.callers(), &head, body)
     }
 
     /// Metrics as text.
     pub fn metrics(&self) -> String {
         let at = SocketAddr::from((self.ip, METRICS));
-        let answer = ask(at, "GET /metrics HTTP/1.1\r\nHost: x\r\n", b"");
+        let answer = send_request(at, "GET /metrics HTTP/1.1\r\nHost: x\r\n", b"");
         String::from_utf8_lossy(&answer.body).into_owned()
     }
 
-    /// Log lines so far, as objects.
+    /// Log lines so far, as JSON objects.
     pub fn log(&self) -> Vec<Value> {
         let lines = self.lines.lock().unwrap();
         lines.iter().map(|line| serde_json::from_str(line).expect(line)).collect()
@@ -237,7 +244,7 @@
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.settings);
--- a/tests/gateway/traces.rs
+++ b/tests/gateway/traces.rs
@@ -1,4 +1,5 @@
-//! From a failed request's identifier to its cause, by the logs of a real run.
+//! `galenactl trace`, which explains a failed request from the logs of an instance; and the limits
+//! of these logs.
 
 use crate::support::{Gateway, World, config, wait_until};
 use galenapath_dev::users_platform::ServerTrouble;
@@ -6,7 +7,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// Writes the logs of an instance to a file and asks `galenactl` about a request.
+/// Writes the logs of an instance to a file and runs `galenactl trace` on it for a request.
 fn trace(gateway: &Gateway, id: &str) -> String {
     gateway.log_of(id);
     let file = write_log(gateway, id);
@@ -26,52 +27,58 @@
     file
 }
 
-fn has_all(told: &str, texts: &[&str]) {
+fn assert_contains_all(report: &str, texts: &[&str]) {
     for text in texts {
-        assert!(told.contains(text), "`{text}` is missing in\n{told}");
+        assert!(report.contains(text), "`{text}` is missing in\n{report}");
     }
 }
 
 #[test]
 fn trace_filing_without_an_answer() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
-    for server in world.of("file") {
+    let gateway = Gateway::start_ready(&world, &[]);
+    for server in world.servers_of("file") {
         server.set_trouble(ServerTrouble::Hang);
     }
-    assert_eq!(gateway.file("t1").status, 504);
-    let told = trace(&gateway, "t1");
-    has_all(&told, &["verdict=may-have-run", "outcome=timeout", "sent there", "three times"]);
-    has_all(&told, &["sends=1", "configuration in force"]);
+    assert_eq!(gateway.send_filing("t1").status, 504);
+    let report = trace(&gateway, "t1");
+    assert_contains_all(
+        &report,
+        &["verdict=may-have-run", "outcome=timeout", "sent there", "three times"],
+    );
+    assert_contains_all(&report, &["sends=1", "configuration in force"]);
 }
 
 #[test]
 fn trace_lookup_refused_in_a_burst() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
-    for server in world.of("look") {
+    let gateway = Gateway::start_ready(&world, &[]);
+    for server in world.servers_of("look") {
         server.set_pace(2_000);
     }
-    // Two servers with six slots: forty at once are more than can be in time.
+    // Two servers with six slots cannot answer forty concurrent requests in time.
     let refused = std::thread::scope(|scope| {
-        let ask = |n: usize| {
+        let send = |n: usize| {
             let gateway = &gateway;
-            scope.spawn(move || (n, gateway.look(&format!("u{n}"))))
+            scope.spawn(move || (n, gateway.send_lookup(&format!("u{n}"))))
         };
-        let threads: Vec<_> = (0..40).map(ask).collect();
+        let threads: Vec<_> = (0..40).map(send).collect();
         let answers = threads.into_iter().map(|thread| thread.join().unwrap());
         answers.filter(|(_, answer)| answer.status == 503).map(|(n, _)| n).collect::<Vec<_>>()
     });
     let id = format!("u{}", refused.first().expect("some are refused"));
-    let told = trace(&gateway, &id);
-    has_all(&told, &["outcome=no_room", "verdict=not-run", "its wait was predicted to last"]);
-    has_all(&told, &["retry_after_ms="]);
+    let report = trace(&gateway, &id);
+    assert_contains_all(
+        &report,
+        &["outcome=no_room", "verdict=not-run", "its wait was predicted to last"],
+    );
+    assert_contains_all(&report, &["retry_after_ms="]);
 }
 
 #[test]
-fn trace_request_before_its_route_came() {
+fn trace_request_before_route_was_configured() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
+    let gateway = Gateway::start_ready(&world, &[]);
     let answer = gateway.request("GET", "/new/1", "v1", 900, b"");
     assert_eq!(answer.status, 404);
     let mut changed = config(7, &[]);
@@ -82,14 +89,17 @@
     }));
     world.store.put("op/config", &changed);
     wait_until("the new route", || gateway.request("GET", "/new/1", "v2", 900, b"").status == 200);
-    let told = trace(&gateway, "v1");
-    has_all(&told, &["reason=no_route", "config=1", "configuration in force", "version=7"]);
+    let report = trace(&gateway, "v1");
+    assert_contains_all(
+        &report,
+        &["reason=no_route", "config=1", "configuration in force", "version=7"],
+    );
 }
 
 #[test]
 fn trace_unknown_request_says_where_to_look() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
+    let gateway = Gateway::start_ready(&world, &[]);
     let file = write_log(&gateway, "none");
     let output =
         Command::new(env!("CARGO_BIN_EXE_galenactl")).args(["trace", "none"]).arg(&file).output();
@@ -105,13 +115,14 @@
     let mut gateway = Gateway::start_unread(&world);
     wait_until("readiness", || gateway.is_ready());
     let began = Instant::now();
-    // Each has a line of about 300 bytes; a pipe takes 64 KiB, what is kept beside it 32 KiB more.
+    // Each request has a log line of about 300 bytes. The pipe holds 64 KiB, and the buffer of the
+    // instance 32 KiB more.
     for n in 0..1_500 {
         assert_eq!(gateway.request("GET", "/none/1", &format!("w{n}"), 900, b"").status, 404);
     }
-    assert_eq!(gateway.look("w-end").status, 200);
+    assert_eq!(gateway.send_lookup("w-end").status, 200);
     assert!(began.elapsed() < Duration::from_secs(20), "{:?}", began.elapsed());
-    let lines = gateway.read_to_the_end();
+    let lines = gateway.kill_and_read_log();
     let (last, whole) = lines.split_last().unwrap();
     assert!(whole.len() < 1_000, "{} lines", whole.len());
     for line in whole {
@@ -123,7 +134,7 @@
 #[test]
 fn log_bounded_at_ten_times_its_lines() {
     let world = World::start();
-    let gateway = Gateway::ready(&world, &[]);
+    let gateway = Gateway::start_ready(&world, &[]);
     gateway.change_settings("[log]\nlines_per_second = 1\n");
     gateway.signal("-HUP");
     wait_until("the new settings", || {
@@ -137,7 +148,7 @@
         offered += 1;
     }
     let written = gateway.log().len() - before;
-    // Ten lines about failures a second, in three seconds at the most, and a few about other things.
+    // Ten lines a second about failures for at most three seconds, and a few other lines.
     assert!(offered > 100, "{offered}");
     assert!(written <= 40, "{written} lines of {offered}");
     assert!(gateway.metrics().contains("galenapath_log_left_out_total"));
--- a/tests/gateway/world.rs
+++ b/tests/gateway/world.rs
@@ -1,14 +1,15 @@
-//! The stand-ins of the users' platform that gateways run beside.
+//! Stand-ins for the users' platform that gateways run with.
 
 use galenapath_dev::link::Relay;
 use galenapath_dev::users_platform::{KvStandIn, ServerStandIn};
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Requests a second that a cold server can take.
+/// Requests a second that a cold server can run; more of them crash it.
 pub const COLD_PER_SECOND: f64 = 6.0;
 
-/// A configuration with one route for each kind, each to a service of its own.
+/// A configuration with one route for each kind of request, each to a different service. `changes`
+/// are fields of routes to set: route, field and value.
 pub fn config(version: u64, changes: &[(&str, &str, Value)]) -> Value {
     let mut resources = vec![json!({
         "resource_type": "limits", "metadata": {},
@@ -36,18 +37,18 @@
     json!({ "version": format!("{version:08x}"), "resources": resources })
 }
 
-/// The stand-ins of a test: a store and servers, two for each service.
+/// The stand-ins of a test: a store and two servers for each service.
 pub struct World {
     /// The store.
     pub store: KvStandIn,
-    /// Servers by service: lookups, filings, downloads.
+    /// Servers with their service: lookups, filings and downloads.
     pub servers: Vec<(&'static str, ServerStandIn)>,
-    /// Relays before the servers, where there are any.
+    /// Relays in front of the servers, in their order; empty without relays.
     pub links: Vec<Relay>,
 }
 
 impl World {
-    /// A store with a configuration and listed servers whose work takes 20 ms.
+    /// Starts a store with a configuration, and listed servers whose work takes 20 ms.
     pub fn start() -> Self {
         let store = KvStandIn::default();
         store.put("op/config", &config(1, &[]));
@@ -64,7 +65,7 @@
         Self { store, servers, links: Vec::new() }
     }
 
-    /// The same with a relay before each server, whose link can be cut.
+    /// Starts the same with a relay in front of each server, on which link faults can be set.
     pub fn start_linked() -> Self {
         let mut world = Self::start();
         for (service, server) in &world.servers {
@@ -77,13 +78,13 @@
         world
     }
 
-    /// Failure domain in which a server is listed by [`Self::spread`].
+    /// Failure domain in which [`Self::spread_over_domains`] lists the server with this index.
     pub fn domain_of(at: usize) -> &'static str {
         if at.is_multiple_of(2) { "d1" } else { "d2" }
     }
 
-    /// Lists the second server of each service in a failure domain of its own, `d2`.
-    pub fn spread(&self) {
+    /// Lists the first server of each service in failure domain `d1`, the second one in `d2`.
+    pub fn spread_over_domains(&self) {
         for (at, (service, server)) in self.servers.iter().enumerate() {
             let (key, mut entry) = server.entry(service, "ready");
             entry["zone"] = json!(Self::domain_of(at));
@@ -99,18 +100,18 @@
         self.store.put(&format!("op/evacuate/{domain}"), &json!({}));
     }
 
-    /// Takes a failure domain back.
+    /// Ends the evacuation of a failure domain.
     pub fn restore(&self, domain: &str) {
         self.store.delete(&format!("op/evacuate/{domain}"));
     }
 
     /// The servers of a service.
-    pub fn of(&self, service: &str) -> Vec<&ServerStandIn> {
+    pub fn servers_of(&self, service: &str) -> Vec<&ServerStandIn> {
         self.servers.iter().filter(|(name, _)| *name == service).map(|(_, s)| s).collect()
     }
 
-    /// Requests that the servers of a service ran.
-    pub fn ran(&self, service: &str) -> usize {
-        self.of(service).iter().map(|server| server.seen().len()).sum()
+    /// Number of requests that the servers of a service ran.
+    pub fn run_count(&self, service: &str) -> usize {
+        self.servers_of(service).iter().map(|server| server.seen().len()).sum()
     }
 }
--- a/tests/gateway_soak.rs
+++ b/tests/gateway_soak.rs
@@ -1,12 +1,20 @@
-//! Random faults on running programs, and what callers and servers see meanwhile.
+//! Random faults on running programs, with checks of what callers receive and servers run.
 //!
-//! `SOAK_SEEDS=1,2,3 SOAK_SECONDS=20 cargo test --test gateway_soak` plays other seeds for longer;
-//! `SOAK_INSTANCES=100` starts more instances, and then one seed goes on at a time.
-//! Each seed draws instances that are killed, paused, stopped and started, a store that is away for
-//! one or for all, links to the store and to servers that are cut, delayed or silenced one way or both,
-//! servers that fail in every way the stand-in knows, turn cold, name a rate limit, leave, want nothing for a
-//! while or start again under their identity, entries of other writers, a failure domain that is evacuated, and configurations. Two faults go on at a time.
-//! Some callers keep their connection for as long as it lasts.
+//! `SOAK_SEEDS=1,2,3 SOAK_SECONDS=20 cargo test --test gateway_soak` runs other seeds for longer.
+//! `SOAK_INSTANCES=100` starts more instances; seeds then run one at a time.
+//!
+//! Each seed draws faults of these kinds, of which two run at a time:
+//!
+//! - Instances are killed, paused, stopped and started again, or reload their settings.
+//! - The store is unreachable for one instance or for all.
+//! - Links to the store and to servers are cut, delayed or silenced, in one direction or in both.
+//! - Servers fail in every way that the stand-in has, turn cold, state a rate limit, leave, are
+//!   paused, or restart under the same identity.
+//! - Other writers add entries to the store.
+//! - A failure domain is evacuated.
+//! - The configuration changes.
+//!
+//! Half of the callers use one connection for as long as it stays open.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -15,7 +23,7 @@
 #[path = "gateway/support.rs"]
 mod support;
 
-use faults::fault;
+use faults::inject_fault;
 use galenapath_dev::link::Relay;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -25,73 +33,89 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
-use support::callers::Kept;
-use support::{Answer, Gateway, World, ask, config, wait_until};
+use support::callers::PersistentConnection;
+use support::{Answer, Gateway, World, config, send_request, wait_until};
 
-/// Seeds that are played every time; each that ever failed stays here with the cause.
+/// Seeds of every run. A seed that ever failed stays here with its cause.
 const SEEDS: &[u64] = &[1, 2];
 
-/// Seeds that are played with many instances, and few callers for each. Nobody counted as one that serves callers, so
-/// that nobody was told of a rate limit (601); nobody asked the servers of a domain without instances, so that
-/// nobody heard that one had turned cold (602).
-const SEEDS_OF_MANY: &[u64] = &[601, 602];
-
-/// Instances of these runs, and their length in seconds.
-const MANY: usize = 60;
-const SECONDS_OF_MANY: u64 = 10;
-
-/// Length of a run whose length is not set.
-const SECONDS: usize = 6;
-
-/// Instances of a run whose number is not set.
-const INSTANCES: usize = 3;
-/// Runs that go on at a time, of few instances: each is a dozen processes and threads.
-const RUNS: usize = 3;
-/// Faults that go on at a time.
-const TROUBLES: u64 = 2;
-const CALLERS: usize = 4;
-/// Unix millisecond of the first start of a server that starts again.
-const FIRST_START: u64 = 1_764_720_000_000;
-
-/// What a caller was told.
+/// Seeds of runs with many instances, and few callers for each. They guard against two faults:
+///
+/// - 601: No instance counted as one that serves callers, so none was informed of a rate limit.
+/// - 602: No instance queried the servers of a failure domain without instances, so none learned
+///   that one of them had turned cold.
+const LARGE_RUN_SEEDS: &[u64] = &[601, 602];
+
+/// Number of instances in runs of [`LARGE_RUN_SEEDS`].
+const LARGE_RUN_INSTANCES: usize = 60;
+/// Length in seconds of runs of [`LARGE_RUN_SEEDS`].
+const LARGE_RUN_SECONDS: u64 = 10;
+
+/// Length in seconds of a run if `SOAK_SECONDS` is not set.
+const DEFAULT_SECONDS: usize = 6;
+
+/// Number of instances of a run if `SOAK_INSTANCES` is not set.
+const DEFAULT_INSTANCES: usize = 3;
+
+/// Runs of [`DEFAULT_INSTANCES`] that run concurrently; each has a dozen processes and threads.
+const CONCURRENT_RUNS: usize = 3;
+
+/// Threads that inject faults, and so the number of concurrent faults.
+const FAULT_THREADS: u64 = 2;
+
+/// Threads that send requests.
+const CALLER_THREADS: usize = 4;
+
+/// Start time, in Unix milliseconds, of the first server that restarts.
+const FIRST_START_MS: u64 = 1_764_720_000_000;
+
+/// A request with the answer that its caller received.
 #[derive(Clone, Debug)]
-struct Told {
+struct CallRecord {
     id: String,
-    is_once_only: bool,
+    is_non_idempotent: bool,
     answer: Answer,
 }
 
 const FILING: &[u8] = b"a filing";
 
-fn head(id: &str, is_once_only: bool) -> String {
-    let line = if is_once_only { "POST /file/1" } else { "GET /look/1" };
+fn head(id: &str, is_non_idempotent: bool) -> String {
+    let line = if is_non_idempotent { "POST /file/1" } else { "GET /look/1" };
     format!(
         "{line} HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: {id}\r\n\
          X-Request-Deadline-Ms: 1500\r\n"
     )
 }
 
-fn call(address: SocketAddr, id: &str, is_once_only: bool) -> Told {
-    let body = if is_once_only { FILING } else { b"" };
-    let answer = ask(address, &head(id, is_once_only), body);
-    Told { id: id.to_owned(), is_once_only, answer }
+fn call(address: SocketAddr, id: &str, is_non_idempotent: bool) -> CallRecord {
+    let body = if is_non_idempotent { FILING } else { b"" };
+    let answer = send_request(address, &head(id, is_non_idempotent), body);
+    CallRecord { id: id.to_owned(), is_non_idempotent, answer }
 }
 
-/// The same on the connection of an earlier call, while the instance keeps it open.
-fn call_kept(kept: &mut Option<Kept>, address: SocketAddr, id: &str, is_once_only: bool) -> Told {
-    let body = if is_once_only { FILING } else { b"" };
-    let mut connection = kept.take().or_else(|| Kept::open(address));
-    let answer = connection.as_mut().and_then(|kept| kept.ask(&head(id, is_once_only), body));
+/// Sends a request on the connection of an earlier call, or on a new one if the instance has closed
+/// that. Keeps the connection in `reused` if it stays open.
+fn call_persistent(
+    reused: &mut Option<PersistentConnection>,
+    address: SocketAddr,
+    id: &str,
+    is_non_idempotent: bool,
+) -> CallRecord {
+    let body = if is_non_idempotent { FILING } else { b"" };
+    let mut connection = reused.take().or_else(|| PersistentConnection::open(address));
+    let answer = connection
+        .as_mut()
+        .and_then(|connection| connection.send_request(&head(id, is_non_idempotent), body));
     if answer.as_ref().is_some_and(|answer| answer.header("connection") != Some("close")) {
-        *kept = connection;
+        *reused = connection;
     }
-    Told { id: id.to_owned(), is_once_only, answer: answer.unwrap_or_default() }
+    CallRecord { id: id.to_owned(), is_non_idempotent, answer: answer.unwrap_or_default() }
 }
 
-/// Callers that go on until they are told to end.
+/// Threads that send requests until [`Self::end`].
 struct Callers {
     is_over: Arc<AtomicBool>,
-    threads: Vec<std::thread::JoinHandle<Vec<Told>>>,
+    threads: Vec<std::thread::JoinHandle<Vec<CallRecord>>>,
 }
 
 impl Callers {
@@ -103,46 +127,47 @@
             let addresses = addresses.to_vec();
             std::thread::spawn(move || {
                 let mut rng = SmallRng::seed_from_u64(seed * 100 + n as u64);
-                let (mut told, mut kept) = (Vec::new(), None);
+                let (mut calls, mut connection) = (Vec::new(), None);
                 while !is_over.load(Ordering::Relaxed) {
                     let id = format!("{seed}-{}", next.fetch_add(1, Ordering::Relaxed));
                     let address = addresses[rng.random_range(0..addresses.len())];
-                    let is_once_only = rng.random_bool(0.5);
-                    told.push(match n % 2 {
-                        0 => call(address, &id, is_once_only),
-                        _ => call_kept(&mut kept, address, &id, is_once_only),
+                    let is_non_idempotent = rng.random_bool(0.5);
+                    calls.push(match n % 2 {
+                        0 => call(address, &id, is_non_idempotent),
+                        _ => call_persistent(&mut connection, address, &id, is_non_idempotent),
                     });
                     std::thread::sleep(Duration::from_millis(5));
                 }
-                told
+                calls
             })
         };
-        let threads = (0..CALLERS).map(spawn).collect();
+        let threads = (0..CALLER_THREADS).map(spawn).collect();
         Self { is_over, threads }
     }
 
-    fn end(self) -> Vec<Told> {
+    fn end(self) -> Vec<CallRecord> {
         self.is_over.store(true, Ordering::Relaxed);
         self.threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect()
     }
 }
 
-/// What a run consists of, as far as faults touch it.
-struct Stage {
+/// The programs of a run that faults are injected into.
+struct Deployment {
     world: World,
     gateways: Vec<Mutex<Gateway>>,
     /// Relays between the instances and the store.
     store_links: Vec<Relay>,
     version: AtomicU64,
-    /// Unix millisecond of the next start of a server.
-    starts: AtomicU64,
+    /// Start time, in Unix milliseconds, of the next server that restarts.
+    next_start_ms: AtomicU64,
+    /// Faults injected so far.
     trace: Mutex<Vec<String>>,
 }
 
-impl Stage {
+impl Deployment {
     fn start(instances: usize) -> Self {
         let world = World::start_linked();
-        world.spread();
+        world.spread_over_domains();
         let (mut gateways, mut store_links): (Vec<Gateway>, Vec<Relay>) = (Vec::new(), Vec::new());
         for _ in 0..instances {
             let link = Relay::start_on_thread(world.store.listen().unwrap()).unwrap();
@@ -154,12 +179,12 @@
         }
         let gateways = gateways.into_iter().map(Mutex::new).collect();
         let (version, trace) = (AtomicU64::new(1), Mutex::default());
-        let starts = AtomicU64::new(FIRST_START);
-        Self { world, gateways, store_links, version, starts, trace }
+        let next_start_ms = AtomicU64::new(FIRST_START_MS);
+        Self { world, gateways, store_links, version, next_start_ms, trace }
     }
 
-    /// Lists a server as one that has started again under its identity.
-    fn list_again(&self, at: usize, started: u64) {
+    /// Lists a server as restarted under the same identity.
+    fn list_restarted(&self, at: usize, started: u64) {
         let (service, server) = &self.world.servers[at];
         let (key, mut entry) = server.entry_of_run(service, "ready", started);
         entry["address"] = json!(self.world.links[at].addr.to_string());
@@ -171,11 +196,11 @@
         self.gateways[n].lock().unwrap()
     }
 
-    /// Draws faults and carries them out until `end`.
-    fn trouble(&self, mut rng: SmallRng, end: Instant) {
+    /// Draws faults and injects them until `end`.
+    fn inject_faults(&self, mut rng: SmallRng, end: Instant) {
         while Instant::now() < end {
-            let what = fault(&mut rng, self);
-            self.trace.lock().unwrap().push(what);
+            let description = inject_fault(&mut rng, self);
+            self.trace.lock().unwrap().push(description);
             std::thread::sleep(Duration::from_millis(rng.random_range(0..300)));
         }
     }
@@ -184,6 +209,7 @@
         self.trace.lock().unwrap().clone()
     }
 
+    /// Writes a configuration whose version is greater by `more`; returns the version.
     fn configure(&self, more: u64, changes: &[(&str, &str, Value)]) -> u64 {
         let version = self.version.fetch_add(more, Ordering::Relaxed) + more;
         self.world.store.put("op/config", &config(version, changes));
@@ -192,129 +218,136 @@
 }
 
 /// Checks every answer against what the servers ran.
-fn check(world: &World, told: &[Told], trace: &[String]) {
+fn assert_answers_match_runs(world: &World, calls: &[CallRecord], trace: &[String]) {
     let mut runs: HashMap<String, usize> = HashMap::new();
     for (_, server) in &world.servers {
         for seen in server.seen() {
             *runs.entry(seen.id).or_default() += 1;
         }
     }
-    for Told { id, is_once_only, answer } in told {
+    for CallRecord { id, is_non_idempotent, answer } in calls {
         let ran = runs.get(id).copied().unwrap_or(0);
-        assert!(!is_once_only || ran <= 1, "{id} ran {ran} times: {trace:?}");
+        assert!(!is_non_idempotent || ran <= 1, "{id} ran {ran} times: {trace:?}");
         let says_not_run = [408, 421, 429, 503].contains(&answer.status);
-        assert!(!(says_not_run && *is_once_only && ran > 0), "{id} told not run: {trace:?}");
+        assert!(
+            !(says_not_run && *is_non_idempotent && ran > 0),
+            "{id} ran but was reported as not run: {trace:?}"
+        );
         if answer.status == 200 {
-            assert!(answer.is_whole, "{id} in part: {trace:?}");
+            assert!(answer.is_whole, "{id} has an incomplete answer: {trace:?}");
             assert_eq!(answer.header("x-attempt-id"), Some(id.as_str()), "{trace:?}");
             assert!(answer.header("x-response-signature").is_some(), "{id}: {trace:?}");
             assert_eq!(answer.body, "x".repeat(20).as_bytes(), "{id}: {trace:?}");
         }
-        assert!(![400, 404].contains(&answer.status), "{id} denied: {trace:?}");
+        assert!(![400, 404].contains(&answer.status), "{id} was rejected as invalid: {trace:?}");
     }
 }
 
-fn play(seed: u64, seconds: u64, instances: usize) {
-    let stage = Stage::start(instances);
-    let addresses: Vec<SocketAddr> = (0..instances).map(|n| stage.gateway(n).callers()).collect();
+fn run_seed(seed: u64, seconds: u64, instances: usize) {
+    let deployment = Deployment::start(instances);
+    let addresses: Vec<SocketAddr> =
+        (0..instances).map(|n| deployment.gateway(n).callers()).collect();
     let callers = Callers::start(seed, &addresses);
     let end = Instant::now() + Duration::from_secs(seconds);
     std::thread::scope(|scope| {
-        for n in 0..TROUBLES {
-            let (stage, rng) = (&stage, SmallRng::seed_from_u64(seed * TROUBLES + n));
-            scope.spawn(move || stage.trouble(rng, end));
+        for n in 0..FAULT_THREADS {
+            let (deployment, rng) =
+                (&deployment, SmallRng::seed_from_u64(seed * FAULT_THREADS + n));
+            scope.spawn(move || deployment.inject_faults(rng, end));
         }
     });
-    let trace = stage.trace();
-    let version = stage.configure(1, &[]);
-    let wanted = format!("galenapath_config_version {version}");
-    for n in 0..stage.gateways.len() {
-        let gateway = stage.gateway(n);
+    let trace = deployment.trace();
+    let version = deployment.configure(1, &[]);
+    let metric_line = format!("galenapath_config_version {version}");
+    for n in 0..deployment.gateways.len() {
+        let gateway = deployment.gateway(n);
         wait_until(&format!("version {version} after {trace:?}"), || {
-            gateway.metrics().contains(&wanted)
+            gateway.metrics().contains(&metric_line)
         });
-        wait_until(&format!("service after {trace:?}"), || {
+        wait_until(&format!("a request to be answered after {trace:?}"), || {
             call(gateway.callers(), &format!("{seed}-end"), false).answer.status == 200
         });
     }
-    evacuate_at_the_end(&stage, &trace);
-    ask_for_less_at_the_end(&stage, &trace);
-    let told = callers.end();
-    let served = told.iter().filter(|told| told.answer.status == 200).count();
-    println!("seed {seed}: {} requests, {served} served, faults {trace:?}", told.len());
-    check(&stage.world, &told, &trace);
-    assert!(served * 4 > told.len(), "seed {seed}: {served} of {} served", told.len());
+    assert_evacuation_holds(&deployment, &trace);
+    assert_limit_and_leaving_hold(&deployment, &trace);
+    let calls = callers.end();
+    let served = calls.iter().filter(|call| call.answer.status == 200).count();
+    println!("seed {seed}: {} requests, {served} served, faults {trace:?}", calls.len());
+    assert_answers_match_runs(&deployment.world, &calls, &trace);
+    assert!(served * 4 > calls.len(), "seed {seed}: {served} of {} served", calls.len());
 }
 
-/// Whatever went before, an evacuation that all know of leaves the servers of its domain alone.
-fn evacuate_at_the_end(stage: &Stage, trace: &[String]) {
-    /// Time that a request that was sent before may take, and that one after it is waited for.
+/// Checks that, whatever faults preceded it, an evacuation that all instances know of keeps
+/// requests from the servers of its failure domain.
+fn assert_evacuation_holds(deployment: &Deployment, trace: &[String]) {
+    /// Longest time that a request in flight takes, and the time to watch for new ones after it.
     const SETTLE: Duration = Duration::from_millis(300);
-    stage.world.evacuate("d2");
-    for n in 0..stage.gateways.len() {
-        stage.gateway(n).wait_for_evacuated(1);
+    deployment.world.evacuate("d2");
+    for n in 0..deployment.gateways.len() {
+        deployment.gateway(n).wait_for_evacuated(1);
     }
     std::thread::sleep(SETTLE);
-    let withdrawn = || stage.world.servers.iter().skip(1).step_by(2);
+    let withdrawn = || deployment.world.servers.iter().skip(1).step_by(2);
     let ran = || withdrawn().map(|(_, server)| server.seen().len()).sum::<usize>();
     let before = ran();
     std::thread::sleep(SETTLE);
-    assert_eq!(ran(), before, "requests in an evacuated domain: {trace:?}");
-    for (_, server) in &stage.world.servers {
-        let most = server.most_cold();
-        assert_eq!(server.crashes(), 0, "{most} requests a second while cold: {trace:?}");
+    assert_eq!(ran(), before, "requests in an evacuated domain after {trace:?}");
+    for (_, server) in &deployment.world.servers {
+        let peak = server.most_cold();
+        assert_eq!(server.crashes(), 0, "{peak} requests a second while cold: {trace:?}");
     }
 }
 
-/// Whatever went before, a server gets no more than it takes from all instances together, and nothing new once it
-/// leaves. Of each service one server is left, whose callers send much more than that.
-fn ask_for_less_at_the_end(stage: &Stage, trace: &[String]) {
-    /// Longer than the span over which the server counts.
-    const LONG: Duration = Duration::from_millis(4_700);
+/// Checks that, whatever faults preceded it, a server gets no more requests than its rate limit
+/// from all instances together, and none once it is leaving. Only one server of each service is
+/// left while `d2` is evacuated, and callers send much more than its limit.
+fn assert_limit_and_leaving_hold(deployment: &Deployment, trace: &[String]) {
+    /// Longer than the four-second window over which the server counts requests.
+    const LIMIT_DURATION: Duration = Duration::from_millis(4_700);
     const SETTLE: Duration = Duration::from_millis(300);
-    let server = stage.world.of("look")[0];
+    let server = deployment.world.servers_of("look")[0];
     let before = server.overruns();
     server.set_limit(Some(2.0));
-    std::thread::sleep(LONG);
-    let most = server.most_limited();
-    assert_eq!(server.overruns(), before, "{most} requests within four seconds: {trace:?}");
+    std::thread::sleep(LIMIT_DURATION);
+    let peak = server.most_limited();
+    assert_eq!(server.overruns(), before, "{peak} requests within four seconds: {trace:?}");
     server.set_limit(None);
     server.set_leaving(true);
-    for n in 0..stage.gateways.len() {
-        let gateway = stage.gateway(n);
-        wait_until(&format!("word that a server leaves after {trace:?}"), || {
+    for n in 0..deployment.gateways.len() {
+        let gateway = deployment.gateway(n);
+        wait_until(&format!("the instance to learn that a server leaves after {trace:?}"), || {
             !gateway.metrics().contains("galenapath_leaving_servers 0\n")
         });
     }
     std::thread::sleep(SETTLE);
     let ran = server.seen().len();
     std::thread::sleep(SETTLE);
-    assert_eq!(server.seen().len(), ran, "requests at a server that leaves: {trace:?}");
+    assert_eq!(server.seen().len(), ran, "requests at a server that is leaving after {trace:?}");
 }
 
-fn setting(name: &str) -> Option<String> {
+fn env_setting(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-fn number(name: &str, usual: usize) -> usize {
-    setting(name).map_or(usual, |text| text.parse().unwrap())
+fn env_number(name: &str, default: usize) -> usize {
+    env_setting(name).map_or(default, |text| text.parse().unwrap())
 }
 
 #[test]
 fn soak_promises_held() {
-    let seeds: Vec<u64> = match setting("SOAK_SEEDS") {
+    let seeds: Vec<u64> = match env_setting("SOAK_SEEDS") {
         Some(text) => text.split(',').map(|seed| seed.trim().parse().unwrap()).collect(),
         None => SEEDS.to_vec(),
     };
-    let seconds = number("SOAK_SECONDS", SECONDS) as u64;
-    let instances = number("SOAK_INSTANCES", INSTANCES);
-    let runs = if instances > INSTANCES { 1 } else { RUNS };
+    let seconds = env_number("SOAK_SECONDS", DEFAULT_SECONDS) as u64;
+    let instances = env_number("SOAK_INSTANCES", DEFAULT_INSTANCES);
+    let runs = if instances > DEFAULT_INSTANCES { 1 } else { CONCURRENT_RUNS };
     let queue = Mutex::new(seeds);
     std::thread::scope(|scope| {
         for _ in 0..runs {
             scope.spawn(|| {
                 while let Some(seed) = { queue.lock().unwrap().pop() } {
-                    play(seed, seconds, instances);
+                    run_seed(seed, seconds, instances);
                 }
             });
         }
@@ -323,7 +356,7 @@
 
 #[test]
 fn soak_of_many_instances_promises_held() {
-    for seed in SEEDS_OF_MANY {
-        play(*seed, SECONDS_OF_MANY, MANY);
+    for seed in LARGE_RUN_SEEDS {
+        run_seed(*seed, LARGE_RUN_SECONDS, LARGE_RUN_INSTANCES);
     }
 }
--- a/tests/gateway_soak/faults.rs
+++ b/tests/gateway_soak/faults.rs
@@ -1,6 +1,6 @@
-//! The faults that a run draws.
+//! The faults that a run draws and injects.
 
-use super::{Stage, wait_until};
+use super::{Deployment, wait_until};
 use crate::support::COLD_PER_SECOND;
 use galenapath_dev::link::LinkFault;
 use galenapath_dev::users_platform::ServerTrouble;
@@ -10,7 +10,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-const SERVER_TROUBLES: &[ServerTrouble] = &[
+const SERVER_FAULTS: &[ServerTrouble] = &[
     ServerTrouble::Shed,
     ServerTrouble::Mute,
     ServerTrouble::Hang,
@@ -36,13 +36,13 @@
     &all[rng.random_range(0..all.len())]
 }
 
-/// Draws one fault and carries it out; some take a while.
-pub fn fault(rng: &mut SmallRng, stage: &Stage) -> String {
+/// Draws one fault, injects it and returns its description. Blocks for as long as the fault lasts.
+pub fn inject_fault(rng: &mut SmallRng, deployment: &Deployment) -> String {
     match rng.random_range(0..16) {
-        kind @ 0..=3 => instance_fault(rng, stage, kind),
-        kind @ 4..=8 => server_fault(rng, stage, kind),
-        kind @ 9..=12 => platform_fault(rng, stage, kind),
-        kind => server_says(rng, stage, kind),
+        kind @ 0..=3 => instance_fault(rng, deployment, kind),
+        kind @ 4..=8 => server_fault(rng, deployment, kind),
+        kind @ 9..=12 => platform_fault(rng, deployment, kind),
+        kind => server_restriction(rng, deployment, kind),
     }
 }
 
@@ -50,31 +50,31 @@
     Duration::from_millis(rng.random_range(100..1_500))
 }
 
-/// An instance is killed, paused, stopped, or told to read its settings again.
-fn instance_fault(rng: &mut SmallRng, stage: &Stage, kind: u32) -> String {
-    let n = rng.random_range(0..stage.gateways.len());
+/// An instance is killed, paused or stopped, or reloads its settings.
+fn instance_fault(rng: &mut SmallRng, deployment: &Deployment, kind: u32) -> String {
+    let n = rng.random_range(0..deployment.gateways.len());
     let span = draw_span(rng);
     match kind {
         0 => {
-            stage.gateway(n).kill_and_start();
+            deployment.gateway(n).kill_and_start();
             format!("kill {n}")
         }
         1 => {
-            let gateway = stage.gateway(n);
+            let gateway = deployment.gateway(n);
             gateway.signal("-STOP");
             std::thread::sleep(span);
             gateway.signal("-CONT");
             format!("pause {n} for {span:?}")
         }
         2 => {
-            let mut gateway = stage.gateway(n);
+            let mut gateway = deployment.gateway(n);
             gateway.signal("-TERM");
             gateway.wait_and_start();
             format!("stop and start {n}")
         }
         _ => {
-            let gateway = stage.gateway(n);
-            // Before its handler is there, the signal ends any program.
+            let gateway = deployment.gateway(n);
+            // Until the process has installed its handler, the signal ends it.
             wait_until("readiness or the limit", || gateway.is_ready());
             gateway.signal("-HUP");
             format!("signal to {n}")
@@ -82,26 +82,26 @@
     }
 }
 
-/// A server fails, is cut off, slows down, turns cold or starts again.
-fn server_fault(rng: &mut SmallRng, stage: &Stage, kind: u32) -> String {
+/// A server fails, is cut off, slows down, turns cold or restarts.
+fn server_fault(rng: &mut SmallRng, deployment: &Deployment, kind: u32) -> String {
     let span = draw_span(rng);
-    let at = rng.random_range(0..stage.world.servers.len());
-    let server = &stage.world.servers[at].1;
+    let at = rng.random_range(0..deployment.world.servers.len());
+    let server = &deployment.world.servers[at].1;
     match kind {
         4 => {
             let fault = *draw(rng, LINK_FAULTS);
-            let link = &stage.world.links[at];
+            let link = &deployment.world.links[at];
             link.set_fault(fault);
             std::thread::sleep(span);
             link.set_fault(LinkFault::None);
             format!("link of server {at} {fault:?} for {span:?}")
         }
         5 => {
-            let trouble = *draw(rng, SERVER_TROUBLES);
-            server.set_trouble(trouble);
+            let fault = *draw(rng, SERVER_FAULTS);
+            server.set_trouble(fault);
             std::thread::sleep(span);
             server.set_trouble(ServerTrouble::None);
-            format!("server {at} {trouble:?} for {span:?}")
+            format!("server {at} {fault:?} for {span:?}")
         }
         6 => {
             server.set_pace(rng.random_range(100..800));
@@ -115,25 +115,25 @@
             format!("server {at} cold for {span:?}")
         }
         _ => {
-            let started = stage.starts.fetch_add(1, Ordering::Relaxed);
-            stage.list_again(at, started);
-            format!("server {at} started again at {started}")
+            let started = deployment.next_start_ms.fetch_add(1, Ordering::Relaxed);
+            deployment.list_restarted(at, started);
+            format!("server {at} restarted at {started}")
         }
     }
 }
 
-/// A server asks for less: it names a rate limit, wants nothing for a while, or leaves and starts again.
-fn server_says(rng: &mut SmallRng, stage: &Stage, kind: u32) -> String {
+/// A server restricts its requests: it states a rate limit, is paused, or leaves and restarts.
+fn server_restriction(rng: &mut SmallRng, deployment: &Deployment, kind: u32) -> String {
     let span = draw_span(rng);
-    let at = rng.random_range(0..stage.world.servers.len());
-    let server = &stage.world.servers[at].1;
+    let at = rng.random_range(0..deployment.world.servers.len());
+    let server = &deployment.world.servers[at].1;
     match kind {
         13 => {
             let limit = rng.random_range(0.0..20.0);
             server.set_limit(Some(limit));
             std::thread::sleep(span);
             server.set_limit(None);
-            format!("server {at} takes {limit:.1} requests a second for {span:?}")
+            format!("server {at} limited to {limit:.1} requests a second for {span:?}")
         }
         14 => {
             server.set_pause(Some(span));
@@ -141,28 +141,29 @@
             std::thread::sleep(draw_span(rng));
             server.set_trouble(ServerTrouble::None);
             server.set_pause(None);
-            format!("server {at} wants nothing for {span:?}")
+            format!("server {at} paused for {span:?}")
         }
         _ => {
             server.set_leaving(true);
             std::thread::sleep(span);
             server.set_leaving(false);
-            let started = stage.starts.fetch_add(1, Ordering::Relaxed);
-            stage.list_again(at, started);
-            format!("server {at} leaves for {span:?} and starts again at {started}")
+            let started = deployment.next_start_ms.fetch_add(1, Ordering::Relaxed);
+            deployment.list_restarted(at, started);
+            format!("server {at} leaving for {span:?} and restarted at {started}")
         }
     }
 }
 
-/// The store is out of reach or forgets, or the operator or another program writes there.
-fn platform_fault(rng: &mut SmallRng, stage: &Stage, kind: u32) -> String {
+/// The store is unreachable, the operator evacuates a domain or changes the configuration, or
+/// another program writes an entry and the store drops its history.
+fn platform_fault(rng: &mut SmallRng, deployment: &Deployment, kind: u32) -> String {
     let span = draw_span(rng);
     match kind {
         9 => {
             let fault = *draw(rng, LINK_FAULTS);
-            let n = rng.random_range(0..stage.gateways.len());
-            let count = if rng.random_bool(0.5) { 1 } else { stage.gateways.len() };
-            let links = || stage.store_links.iter().cycle().skip(n).take(count);
+            let n = rng.random_range(0..deployment.gateways.len());
+            let count = if rng.random_bool(0.5) { 1 } else { deployment.gateways.len() };
+            let links = || deployment.store_links.iter().cycle().skip(n).take(count);
             links().for_each(|link| link.set_fault(fault));
             std::thread::sleep(span);
             links().for_each(|link| link.set_fault(LinkFault::None));
@@ -170,23 +171,23 @@
         }
         10 => {
             let domain = *draw(rng, &["d1", "d2"]);
-            stage.world.evacuate(domain);
+            deployment.world.evacuate(domain);
             std::thread::sleep(span);
-            stage.world.restore(domain);
+            deployment.world.restore(domain);
             format!("{domain} evacuated for {span:?}")
         }
         11 => {
             let timeout = json!(rng.random_range(1_000..2_000));
             let more = rng.random_range(1..4);
-            let version = stage.configure(more, &[("look", "timeout_ms", timeout)]);
+            let version = deployment.configure(more, &[("look", "timeout_ms", timeout)]);
             format!("configuration {version}")
         }
         _ => {
             let entries = [json!("text"), json!({ "service": 7 }), json!({ "zone": "d1" })];
             let entry = draw(rng, &entries);
             let key = format!("servers/other{}", rng.random_range(0..3));
-            stage.world.store.put(&key, entry);
-            stage.world.store.forget_history();
+            deployment.world.store.put(&key, entry);
+            deployment.world.store.forget_history();
             format!("entry of another writer {entry}, history dropped")
         }
     }
