--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -1,4 +1,4 @@
-//! What backend servers may do to a running instance, and what its callers get then.
+//! Faulty answers of backend servers, and what the callers of a running instance get for them.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use support::{Client, FakeServer, Instance, Request, Setup, answer_ok, get};
 
-/// Bytes that an instance cannot take for an answer.
+/// Bytes that are not a valid HTTP/1.1 answer.
 const GARBAGE: [&str; 10] = [
     "garbage\r\n\r\n",
     "HTTP/2.0 200 OK\r\n\r\n",
@@ -24,8 +24,9 @@
     "HTTP/1.1 200 OK\r\nx: y",
 ];
 
-/// A server that misbehaves on paths of each kind and answers others with their path.
-fn hostile() -> FakeServer {
+/// A server that misbehaves as the first segment of the path says. It answers other paths with the
+/// path itself.
+fn misbehaving_server() -> FakeServer {
     FakeServer::start(|io, req| {
         match req.path().split('/').nth(1).unwrap_or("") {
         "garbage" => {
@@ -81,7 +82,7 @@
     format!("HTTP/1.1 200 OK\r\ngalenapath-report: {report}\r\ncontent-length: 2\r\n\r\nok")
 }
 
-/// Half of an answer that is too large to be read before it is passed on.
+/// The first half of an answer that is too large to be buffered before it is forwarded.
 fn cut(req: &Request) -> Vec<u8> {
     let half = "x".repeat(100_000);
     match req.path() {
@@ -99,7 +100,7 @@
     .into_bytes()
 }
 
-/// An instance whose class for the path `/filing` is one of filings.
+/// An instance whose class for the path `/garbage/filing` is of the kind filing.
 fn start(server: &FakeServer) -> Instance {
     Instance::start(&Setup {
         classes: vec![("lookup", "lookup", "/"), ("filing", "filing", "/garbage/filing")],
@@ -109,8 +110,8 @@
 }
 
 #[test]
-fn backends_garbage_told() {
-    let instance = start(&hostile());
+fn backends_garbage_reported() {
+    let instance = start(&misbehaving_server());
     for (n, bytes) in GARBAGE.iter().enumerate() {
         let answer = get(instance.callers, &format!("/garbage/{n}"), "");
         assert!([502, 503].contains(&answer.status), "{bytes:?}: {answer:?}");
@@ -122,9 +123,9 @@
 
 #[test]
 fn backends_garbage_may_have_run() {
-    // One server for each case: a server that fails again and again is left alone for a while.
+    // A new server for each case, because a server that fails repeatedly is ejected for some time.
     for path in ["/garbage/0", "/garbage/4", "/garbage/8", "/empty", "/head"] {
-        let instance = start(&hostile());
+        let instance = start(&misbehaving_server());
         let answer = get(instance.callers, path, "");
         assert_eq!((answer.status, answer.verdict()), (502, "may-have-run"), "{path}");
     }
@@ -132,15 +133,15 @@
 
 #[test]
 fn backends_late_timed_out() {
-    let instance = start(&hostile());
+    let instance = start(&misbehaving_server());
     let answer = get(instance.callers, "/late", "Galenapath-Deadline-Ms: 300\r\n");
     assert_eq!((answer.status, answer.verdict()), (504, "may-have-run"));
     assert_eq!(get(instance.callers, "/after", "").text(), "/after");
 }
 
 #[test]
-fn backends_too_much_never_mixed() {
-    let instance = start(&hostile());
+fn backends_excess_bytes_never_mixed() {
+    let instance = start(&misbehaving_server());
     let mut client = Client::connect(instance.callers);
     for n in 0..10 {
         client.get("/much", "");
@@ -151,8 +152,8 @@
 }
 
 #[test]
-fn backends_forms_of_answers_taken() {
-    let instance = start(&hostile());
+fn backends_answer_forms_accepted() {
+    let instance = start(&misbehaving_server());
     let mut client = Client::connect(instance.callers);
     for (path, body) in [
         ("/interim", "final"),
@@ -172,8 +173,8 @@
 }
 
 #[test]
-fn backends_bad_reports_passed_over() {
-    let (one, other) = (hostile(), hostile());
+fn backends_bad_reports_ignored() {
+    let (one, other) = (misbehaving_server(), misbehaving_server());
     let instance = Instance::start(&Setup {
         classes: vec![("lookup", "lookup", "/")],
         servers: vec![one.address, other.address],
@@ -191,7 +192,7 @@
 #[test]
 fn backends_cut_answer_never_whole() {
     for path in ["/cut/length", "/cut/chunk", "/cut/chunks", "/cut/garbage"] {
-        let instance = start(&hostile());
+        let instance = start(&misbehaving_server());
         let mut client = Client::connect(instance.callers);
         client.get(path, "");
         let answer = client.answer();
--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -1,4 +1,4 @@
-//! What callers may send to a running instance, and what they get for it.
+//! Requests of callers, valid and not, and how a running instance answers them.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -18,7 +18,7 @@
     FakeServer::start(|io, req| answer_ok(io, req.path().as_bytes()))
 }
 
-fn raw(instance: &Instance, bytes: &str) -> Answer {
+fn send_raw(instance: &Instance, bytes: &str) -> Answer {
     let mut client = Client::connect(instance.callers);
     // The instance may close before it has read everything.
     let _ = client.io.write_all(bytes.as_bytes());
@@ -46,7 +46,7 @@
         "X : a\r\n\r\n",
     ];
     for case in cases {
-        let answer = raw(&instance, &format!("POST / HTTP/1.1\r\nHost: s\r\n{case}"));
+        let answer = send_raw(&instance, &format!("POST / HTTP/1.1\r\nHost: s\r\n{case}"));
         assert_eq!((answer.status, answer.verdict()), (400, "not-run"), "{case:?}");
     }
     assert_alive(&instance);
@@ -57,7 +57,7 @@
     let instance = Instance::start(&Setup::lookup(&echo()));
     for head in ["", "Host: s\r\nHost: s\r\n", "Host: s\r\nHost: other\r\n"] {
         let bytes = format!("GET / HTTP/1.1\r\n{head}Connection: close\r\n\r\n");
-        let answer = raw(&instance, &bytes);
+        let answer = send_raw(&instance, &bytes);
         assert_eq!((answer.status, answer.verdict()), (400, "not-run"), "{head:?}");
     }
     assert_alive(&instance);
@@ -86,9 +86,9 @@
     let instance = Instance::start(&Setup::lookup(&echo()));
     let head = "POST / HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n\r\n";
     let large = format!("{:x}\r\n{}\r\n", 100_000, "x".repeat(100_000));
-    let small = raw(&instance, &format!("{head}zz\r\nabc\r\n0\r\n\r\n"));
+    let small = send_raw(&instance, &format!("{head}zz\r\nabc\r\n0\r\n\r\n"));
     assert_eq!((small.status, small.verdict()), (400, "not-run"));
-    let streamed = raw(&instance, &format!("{head}{large}zz\r\n"));
+    let streamed = send_raw(&instance, &format!("{head}{large}zz\r\n"));
     assert_eq!((streamed.status, streamed.verdict()), (400, "may-have-run"));
     assert_alive(&instance);
 }
@@ -98,7 +98,7 @@
     let instance = Instance::start(&Setup::lookup(&echo()));
     for len in [17_000, 1_000_000] {
         let head = format!("GET / HTTP/1.1\r\nHost: s\r\nX: {}\r\n\r\n", "x".repeat(len));
-        let answer = raw(&instance, &head);
+        let answer = send_raw(&instance, &head);
         assert_eq!((answer.status, answer.verdict()), (431, "not-run"), "{len}");
     }
     assert_alive(&instance);
@@ -115,7 +115,7 @@
     for len in [1_001, 3_000_000] {
         let body = "x".repeat(len);
         let head = format!("POST / HTTP/1.1\r\nHost: s\r\nContent-Length: {len}\r\n\r\n");
-        let answer = raw(&instance, &(head + &body));
+        let answer = send_raw(&instance, &(head + &body));
         assert_eq!((answer.status, answer.verdict()), (413, "not-run"), "{len}");
     }
 }
@@ -137,17 +137,17 @@
 fn callers_slow_body_timed_out() {
     let setup = Setup { limits: "idle_timeout = \"300ms\"".into(), ..Setup::lookup(&echo()) };
     let instance = Instance::start(&setup);
-    let answer = raw(&instance, "POST / HTTP/1.1\r\nHost: s\r\nContent-Length: 9\r\n\r\nabc");
+    let answer = send_raw(&instance, "POST / HTTP/1.1\r\nHost: s\r\nContent-Length: 9\r\n\r\nabc");
     assert_eq!((answer.status, answer.verdict()), (408, "not-run"));
 }
 
 #[test]
 fn callers_unknown_service_refused() {
     let instance = Instance::start(&Setup::lookup(&echo()));
-    let answer = raw(&instance, "GET / HTTP/1.1\r\nHost: other\r\nConnection: close\r\n\r\n");
+    let answer = send_raw(&instance, "GET / HTTP/1.1\r\nHost: other\r\nConnection: close\r\n\r\n");
     assert_eq!((answer.status, answer.verdict()), (404, "not-run"));
     assert!(answer.text().contains("other"));
-    let answer = raw(&instance, "GET / HTTP/1.1\r\nConnection: close\r\n\r\n");
+    let answer = send_raw(&instance, "GET / HTTP/1.1\r\nConnection: close\r\n\r\n");
     assert_eq!((answer.status, answer.verdict()), (400, "not-run"));
 }
 
@@ -183,7 +183,7 @@
 #[test]
 fn callers_old_version_kept_alive_when_asked() {
     let instance = Instance::start(&Setup::lookup(&echo()));
-    let answer = raw(&instance, "GET /a HTTP/1.0\r\nHost: s\r\n\r\n");
+    let answer = send_raw(&instance, "GET /a HTTP/1.0\r\nHost: s\r\n\r\n");
     assert_eq!((answer.text().as_str(), answer.header("connection")), ("/a", Some("close")));
     let mut client = Client::connect(instance.callers);
     for _ in 0..2 {
@@ -203,13 +203,13 @@
         let _ = io.write_all(b"0\r\n\r\n");
         ControlFlow::Continue(())
     })));
-    let answer = raw(&instance, "GET / HTTP/1.0\r\nHost: s\r\n\r\n");
+    let answer = send_raw(&instance, "GET / HTTP/1.0\r\nHost: s\r\n\r\n");
     assert_eq!((answer.status, answer.verdict()), (505, "may-have-run"));
     assert_eq!(get(instance.callers, "/", "").body.len(), 100_000);
 }
 
 #[test]
-fn callers_expect_continue_told() {
+fn callers_expect_continue_answered() {
     let server = FakeServer::start(|io, req| answer_ok(io, req.body.len().to_string().as_bytes()));
     let instance = Instance::start(&Setup::lookup(&server));
     for len in [10, 300_000] {
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn callers_gone_slot_freed() {
+fn callers_disconnected_slot_freed() {
     let closed = Arc::new(AtomicUsize::new(0));
     let started = Arc::new(AtomicUsize::new(0));
     let server = {
@@ -255,7 +255,7 @@
                 let _ = io.write_all(&[b'x'; 100_000]);
             }
             started.fetch_add(1, Ordering::SeqCst);
-            // Never answers; sees the instance close.
+            // Sends no answer and blocks until the instance closes the connection.
             let _ = std::io::Read::read(io, &mut [0]);
             closed.fetch_add(1, Ordering::SeqCst);
             ControlFlow::Break(())
@@ -271,16 +271,21 @@
     for (n, req) in requests.iter().enumerate() {
         let mut client = Client::connect(instance.callers);
         client.send(req);
-        wait_until("the request at the server", || started.load(Ordering::SeqCst) > n);
-        let gone = Instant::now();
+        wait_until("the request to reach the server", || started.load(Ordering::SeqCst) > n);
+        let disconnected_at = Instant::now();
         drop(client);
-        wait_until("the slot", || closed.load(Ordering::SeqCst) > n);
-        assert!(gone.elapsed() < Duration::from_secs(2), "{:.20}: {:?}", req, gone.elapsed());
+        wait_until("the connection to the server to close", || closed.load(Ordering::SeqCst) > n);
+        assert!(
+            disconnected_at.elapsed() < Duration::from_secs(2),
+            "{:.20}: {:?}",
+            req,
+            disconnected_at.elapsed()
+        );
     }
 }
 
-/// Parts that make random bytes look like requests now and then.
-fn part() -> impl Strategy<Value = Vec<u8>> {
+/// Pieces of requests, so that some random sequences of bytes resemble valid requests.
+fn request_fragment() -> impl Strategy<Value = Vec<u8>> {
     prop_oneof![
         Just(b"GET /a HTTP/1.1\r\nHost: s\r\n".to_vec()),
         Just(b"POST http://s:99999/b HTTP/1.1\r\n".to_vec()),
@@ -304,16 +309,16 @@
 fn callers_any_bytes_survived() {
     let instance = Instance::start(&Setup::lookup(&echo()));
     let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
-    let parts = prop::collection::vec(part(), 1..10);
+    let fragments = prop::collection::vec(request_fragment(), 1..10);
     TestRunner::new(config)
-        .run(&parts, |parts| {
+        .run(&fragments, |fragments| {
             let mut client = Client::connect(instance.callers);
             // The instance may close before it has read everything.
-            let _ = client.io.write_all(&parts.concat());
+            let _ = client.io.write_all(&fragments.concat());
             let _ = client.io.shutdown(std::net::Shutdown::Write);
-            // What the bytes ask for decides how many answers there are and whether they have bodies.
+            // The bytes decide how many answers there are and whether they have bodies.
             let mut answers = Vec::new();
-            // Closing with bytes unread resets the connection; anything else is a hang or a fault.
+            // Closing with unread bytes resets the connection. Other errors are hangs or faults.
             if let Err(e) = client.io.read_to_end(&mut answers) {
                 prop_assert_eq!(e.kind(), ErrorKind::ConnectionReset);
             }
@@ -335,7 +340,7 @@
     for _ in 0..20 {
         let mut client = Client::connect(instance.callers);
         client.send("POST / HTTP/1.1\r\nHost: s\r\nContent-Length: 3000000\r\n\r\n");
-        // Fails where the instance resets the connection.
+        // Fails if the instance resets the connection.
         client.send(&"x".repeat(3_000_000));
         let answer = client.answer();
         assert_eq!((answer.status, answer.verdict()), (413, "not-run"));
--- a/tests/galenactl.rs
+++ b/tests/galenactl.rs
@@ -1,4 +1,4 @@
-//! `galenactl` against running instances: output, exit codes, messages that say what to do.
+//! `galenactl` against running instances: its output, exit codes and advice in error messages.
 
 #![expect(clippy::unwrap_used, reason = "helpers of tests fail as the tests do")]
 
@@ -22,8 +22,8 @@
     "--method=GET",
 ];
 
-fn alone(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_galenactl")).args(words).output().unwrap()
+fn run_galenactl(args: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_galenactl")).args(args).output().unwrap()
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -31,7 +31,7 @@
 }
 
 #[track_caller]
-fn ends(output: &Output, code: i32) -> String {
+fn assert_exit(output: &Output, code: i32) -> String {
     let all = text(&output.stdout) + &text(&output.stderr);
     assert_eq!(output.status.code(), Some(code), "{all}");
     all
@@ -50,72 +50,74 @@
         &["settings", "check"],
     ];
     for command in commands {
-        let help = ends(&alone(&[command, &["--help"]].concat()), 0);
+        let help = assert_exit(&run_galenactl(&[command, &["--help"]].concat()), 0);
         let example = command.join(" ");
         let after = help.split("Example:").nth(1).unwrap_or_else(|| panic!("{help}"));
         assert!(after.contains(&example), "{help}");
     }
-    assert!(ends(&alone(&["--help"]), 0).contains("Exit codes:"));
+    assert!(assert_exit(&run_galenactl(&["--help"]), 0).contains("Exit codes:"));
 }
 
 #[test]
 fn run_wrong_arguments_is_2() {
-    assert!(ends(&alone(&["status"]), 2).contains("--instance"));
-    ends(&alone(&["class", "paint"]), 2);
+    assert!(assert_exit(&run_galenactl(&["status"]), 2).contains("--instance"));
+    assert_exit(&run_galenactl(&["class", "paint"]), 2);
     let without_base = [&CREATE[..], &["--id", "1"]].concat();
-    assert!(ends(&alone(&without_base), 2).contains("--base"));
+    assert!(assert_exit(&run_galenactl(&without_base), 2).contains("--base"));
     let missing = ["--instance", "127.0.0.1:9", "--token-file", "no-such-file", "status"];
-    assert!(ends(&alone(&missing), 2).contains("no-such-file"));
+    assert!(assert_exit(&run_galenactl(&missing), 2).contains("no-such-file"));
 }
 
 #[test]
 fn run_unreachable_is_1() {
-    let output = alone(&["--instance", "127.0.0.1:9", "status"]);
-    assert!(ends(&output, 1).contains("try another instance"));
+    let output = run_galenactl(&["--instance", "127.0.0.1:9", "status"]);
+    assert!(assert_exit(&output, 1).contains("try another instance"));
 }
 
 #[test]
 fn settings_check_names_file_and_key() {
     let cluster = Cluster::start(1);
     let good = cluster.file("e0.toml");
-    ends(&alone(&["settings", "check", good.to_str().unwrap()]), 0);
+    assert_exit(&run_galenactl(&["settings", "check", good.to_str().unwrap()]), 0);
     let bad = cluster.file("bad.toml");
     let broken = std::fs::read_to_string(&good).unwrap().replace("domain =", "domian =");
     std::fs::write(&bad, broken).unwrap();
-    let message = ends(&alone(&["settings", "check", bad.to_str().unwrap()]), 2);
+    let message = assert_exit(&run_galenactl(&["settings", "check", bad.to_str().unwrap()]), 2);
     assert!(message.contains("bad.toml") && message.contains("domian"), "{message}");
 }
 
 #[test]
 fn class_created_listed_changed_removed() {
     let cluster = Cluster::start(1);
-    let created = ends(&cluster.galenactl(0, &CREATE), 0);
+    let created = assert_exit(&cluster.galenactl(0, &CREATE), 0);
     assert_eq!(created, "VERSION  KNOWN-BY\n1        1\n");
-    let listed = ends(&cluster.galenactl(0, &["class", "list"]), 0);
+    let listed = assert_exit(&cluster.galenactl(0, &["class", "list"]), 0);
     let row = listed.lines().nth(1).unwrap();
     let cells: Vec<&str> = row.split_whitespace().collect();
     assert_eq!(cells, ["looks", "timetable", "lookup", "GET", "/", "50", "ms", "0.99", "1"]);
     let change = ["class", "set-target", "looks", "--latency-ms", "40", "--share", "0.995"];
-    ends(&cluster.galenactl(0, &change), 0);
-    let json = ends(&cluster.galenactl(0, &["--output", "json", "class", "list"]), 0);
+    assert_exit(&cluster.galenactl(0, &change), 0);
+    let json = assert_exit(&cluster.galenactl(0, &["--output", "json", "class", "list"]), 0);
     let document: Value = serde_json::from_str(&json).unwrap();
     assert_eq!(document["classes"][0]["target"], json!({ "latency_ms": 40, "share": 0.995 }));
-    ends(&cluster.galenactl(0, &["class", "remove", "looks"]), 0);
-    ends(&cluster.galenactl(0, &["class", "remove", "looks"]), 7);
-    ends(&cluster.galenactl(0, &CREATE), 0);
-    let audit = ends(&cluster.galenactl(0, &["audit", "--after", "2"]), 0);
+    assert_exit(&cluster.galenactl(0, &["class", "remove", "looks"]), 0);
+    assert_exit(&cluster.galenactl(0, &["class", "remove", "looks"]), 7);
+    assert_exit(&cluster.galenactl(0, &CREATE), 0);
+    let audit = assert_exit(&cluster.galenactl(0, &["audit", "--after", "2"]), 0);
     assert_eq!(audit.lines().count(), 3, "{audit}");
-    assert!(ends(&cluster.galenactl(0, &["status"]), 0).contains("version"));
-    assert!(ends(&cluster.galenactl(0, &["explain", "no-such"]), 7).contains("ask the instance"));
+    assert!(assert_exit(&cluster.galenactl(0, &["status"]), 0).contains("version"));
+    assert!(
+        assert_exit(&cluster.galenactl(0, &["explain", "no-such"]), 7).contains("ask the instance")
+    );
 }
 
 #[test]
 fn class_conflict_is_3() {
     let cluster = Cluster::start(1);
-    ends(&cluster.galenactl(0, &CREATE), 0);
+    assert_exit(&cluster.galenactl(0, &CREATE), 0);
     let change = ["class", "set-target", "looks", "--latency-ms", "40", "--base", "1"];
-    ends(&cluster.galenactl(0, &change), 0);
-    let message = ends(&cluster.galenactl(0, &change), 3);
+    assert_exit(&cluster.galenactl(0, &change), 0);
+    let message = assert_exit(&cluster.galenactl(0, &change), 3);
     assert!(message.contains("decide again"), "{message}");
 }
 
@@ -126,32 +128,32 @@
     let file = cluster.file("other");
     let address = cluster.instances[0].to_string();
     let to = ["--instance", &address, "--token-file", file.to_str().unwrap()];
-    assert!(ends(&alone(&[&to, &CREATE[..]].concat()), 4).contains("--token-file"));
+    assert!(assert_exit(&run_galenactl(&[&to, &CREATE[..]].concat()), 4).contains("--token-file"));
 }
 
 #[test]
 fn class_store_down_is_5_then_accepted() {
     let cluster = Cluster::start(1);
     call(cluster.store, "PUT", "/admin/faults", "", br#"{"down": true}"#);
-    ends(&cluster.galenactl(0, &CREATE), 5);
+    assert_exit(&cluster.galenactl(0, &CREATE), 5);
     call(cluster.store, "PUT", "/admin/faults", "", b"{}");
-    ends(&cluster.galenactl(0, &CREATE), 0);
+    assert_exit(&cluster.galenactl(0, &CREATE), 0);
 }
 
-/// The store takes every write and then answers nothing: the change may have been accepted, and the
-/// printed arguments find out.
+/// The store applies the write but its reply is lost, so that the outcome is unknown. Running the
+/// command again with the printed arguments resolves it without a second change.
 #[test]
-fn class_unknown_is_6_and_found_out() {
+fn class_unknown_is_6_and_retry_resolves_it() {
     let cluster = Cluster::start(1);
-    ends(&cluster.galenactl(0, &CREATE), 0);
+    assert_exit(&cluster.galenactl(0, &CREATE), 0);
     let faults = br#"{"lose_replies": "all", "down_after_write": true}"#;
     let answer = call(cluster.store, "PUT", "/admin/faults", "", faults);
     assert_eq!(answer.status, 200);
     let change = ["class", "set-target", "looks", "--latency-ms", "40"];
-    let message = ends(&cluster.galenactl(0, &change), 6);
-    let again = message.split("with ").nth(1).unwrap().split(" to find out").next().unwrap();
-    let again: Vec<&str> = again.split_whitespace().collect();
+    let message = assert_exit(&cluster.galenactl(0, &change), 6);
+    let retry_args = message.split("with ").nth(1).unwrap().split(" to find out").next().unwrap();
+    let retry_args: Vec<&str> = retry_args.split_whitespace().collect();
     call(cluster.store, "PUT", "/admin/faults", "", b"{}");
-    ends(&cluster.galenactl(0, &[&change[..], &again].concat()), 0);
+    assert_exit(&cluster.galenactl(0, &[&change[..], &retry_args].concat()), 0);
     assert_eq!(cluster.version(0), 2);
 }
--- a/tests/mixing.rs
+++ b/tests/mixing.rs
@@ -1,4 +1,5 @@
-//! Every body belongs to its request, whatever answers are late, cut, doubled or cancelled.
+//! Guards against answers that reach the wrong caller: every body must belong to its request, also
+//! when other answers are late, cut off, followed by extra bytes, or cancelled.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -11,9 +12,9 @@
 use std::ops::ControlFlow;
 use support::{Client, FakeServer, Instance, Setup, answer_ok};
 
-/// How the backend server answers a request.
+/// How the backend server answers a request. The names are the first part of the path.
 #[derive(Clone, Copy, Debug)]
-enum Manner {
+enum AnswerKind {
     Whole,
     Chunked,
     Large,
@@ -23,29 +24,29 @@
     Closed,
 }
 
-/// One request of a caller.
+/// A single request of a caller.
 #[derive(Clone, Copy, Debug)]
-struct Step {
-    manner: Manner,
-    /// Whether the caller leaves without waiting for the answer.
+struct CallerStep {
+    kind: AnswerKind,
+    /// Whether the caller disconnects without waiting for the answer.
     is_cancelled: bool,
 }
 
-fn step() -> impl Strategy<Value = Step> {
-    let manner = prop_oneof![
-        4 => Just(Manner::Whole),
-        2 => Just(Manner::Chunked),
-        2 => Just(Manner::Large),
-        1 => Just(Manner::TooMuch),
-        1 => Just(Manner::Cut),
-        1 => Just(Manner::Late),
-        1 => Just(Manner::Closed),
+fn step() -> impl Strategy<Value = CallerStep> {
+    let kind = prop_oneof![
+        4 => Just(AnswerKind::Whole),
+        2 => Just(AnswerKind::Chunked),
+        2 => Just(AnswerKind::Large),
+        1 => Just(AnswerKind::TooMuch),
+        1 => Just(AnswerKind::Cut),
+        1 => Just(AnswerKind::Late),
+        1 => Just(AnswerKind::Closed),
     ];
-    (manner, prop::bool::weighted(0.2))
-        .prop_map(|(manner, is_cancelled)| Step { manner, is_cancelled })
+    (kind, prop::bool::weighted(0.2))
+        .prop_map(|(kind, is_cancelled)| CallerStep { kind, is_cancelled })
 }
 
-/// The body that belongs to a path: the path over and over.
+/// The body that belongs to a path: the path, repeated.
 fn body_of(path: &str) -> Vec<u8> {
     let times = if path.starts_with("/Large") { 20_000 } else { 3 };
     path.repeat(times).into_bytes()
@@ -87,13 +88,13 @@
     })
 }
 
-/// Runs one caller's steps; returns how many got their body.
-fn call(address: SocketAddr, caller: usize, steps: &[Step]) -> usize {
+/// Runs the steps of one caller; returns how many of them received their body.
+fn call(address: SocketAddr, caller: usize, steps: &[CallerStep]) -> usize {
     let mut client = Client::connect(address);
     let mut count = 0;
     for (n, step) in steps.iter().enumerate() {
-        let path = format!("/{:?}-{caller}-{n}", step.manner);
-        // Half of the late answers come after the caller's deadline.
+        let path = format!("/{:?}-{caller}-{n}", step.kind);
+        // Half of the late answers arrive after the caller's deadline.
         let deadline = if n % 2 == 0 { 15 } else { 2_000 };
         client.get(&path, &format!("Galenapath-Deadline-Ms: {deadline}\r\n"));
         if step.is_cancelled {
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' interface of running instances, and what the configuration costs the store.
+//! The operators' interface of running instances, and the load of the configuration on the store.
 
 #![expect(clippy::unwrap_used, reason = "helpers of tests fail as the tests do")]
 
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-fn create() -> Value {
+fn create_class() -> Value {
     json!({ "create_class": {
         "name": "looks", "service": "timetable", "kind": "lookup", "methods": ["GET"],
         "path_prefix": "/", "target": { "latency_ms": 50, "share": 0.99 }, "revision": 0,
@@ -26,7 +26,8 @@
 #[test]
 fn changes_without_token_refused() {
     let cluster = Cluster::start(1);
-    let body = json!({ "id": "1", "author": "eve", "base": 0, "change": create() }).to_string();
+    let body =
+        json!({ "id": "1", "author": "eve", "base": 0, "change": create_class() }).to_string();
     let long = format!("authorization: Bearer {TOKEN}x\r\n");
     let short = format!("authorization: Bearer {}\r\n", &TOKEN[1..]);
     let bare = format!("authorization: {TOKEN}\r\n");
@@ -51,9 +52,9 @@
         assert_eq!(answer.status, status);
         assert_eq!(answer.json()["verdict"], "not_run");
     }
-    let mut share = create();
+    let mut share = create_class();
     share["create_class"]["target"]["share"] = json!(99);
-    let mut path = create();
+    let mut path = create_class();
     path["create_class"]["path_prefix"] = json!("maps");
     for change in [share, path] {
         let answer = cluster.change(0, "1", 0, change);
@@ -63,13 +64,13 @@
     assert_eq!(cluster.get(0, "/v1/audit?after=x").status, 400);
     assert_eq!(cluster.get(0, "/v1/requests/none").status, 404);
     assert_eq!(cluster.get(0, "/v1/nothing").status, 404);
-    assert_eq!(cluster.change(0, "1", 0, create()).status, 200);
+    assert_eq!(cluster.change(0, "1", 0, create_class()).status, 200);
 }
 
 #[test]
 fn changes_conflict_names_newer_change() {
     let cluster = Cluster::start(1);
-    assert_eq!(cluster.change(0, "1", 0, create()).status, 200);
+    assert_eq!(cluster.change(0, "1", 0, create_class()).status, 200);
     assert_eq!(cluster.change(0, "2", 1, set_target(20)).status, 200);
     let conflict = cluster.change(0, "3", 1, set_target(30));
     assert_eq!(conflict.status, 409);
@@ -78,28 +79,28 @@
 }
 
 #[test]
-fn changes_store_down_says_when_to_come_back() {
+fn changes_store_down_has_retry_after() {
     let cluster = Cluster::start(1);
     call(cluster.store, "PUT", "/admin/faults", "", br#"{"down": true}"#);
-    let answer = cluster.change(0, "1", 0, create());
+    let answer = cluster.change(0, "1", 0, create_class());
     assert_eq!(answer.status, 503);
     assert_eq!(answer.json()["verdict"], "not_run");
     assert!(answer.head.contains("retry-after: "), "{}", answer.head);
 }
 
-/// Seventy changes cut the tail: the trail is complete over pages and tail, and an instance that
-/// starts now reads the snapshot.
+/// Seventy changes are more than the tail holds. The audit trail must be complete over pages and
+/// tail, and an instance that starts afterwards must read the snapshot.
 #[test]
 fn audit_long_trail_complete() {
     let mut cluster = Cluster::start(2);
-    assert_eq!(cluster.change(0, "1", 0, create()).status, 200);
+    assert_eq!(cluster.change(0, "1", 0, create_class()).status, 200);
     for n in 1..70 {
         let answer =
             cluster.change(n % 2, &format!("{}", n + 1), n as u64, set_target(10 + n as u64));
         assert_eq!(answer.status, 200, "{n}: {answer:?}");
     }
     cluster.add_instance();
-    cluster.wait(|cluster| cluster.version(2) == 70);
+    cluster.wait_until(|cluster| cluster.version(2) == 70);
     assert_eq!(cluster.get(2, "/v1/classes").json(), cluster.get(0, "/v1/classes").json());
     let (mut after, mut records) = (0, Vec::new());
     loop {
@@ -115,20 +116,22 @@
     assert!(records.windows(2).all(|pair| pair[0]["to"] == pair[1]["from"]));
 }
 
-fn since(before: &Counters, after: &Counters) -> String {
+fn describe_calls_since(before: &Counters, after: &Counters) -> String {
     let kinds = after.calls.iter();
-    let grown = kinds.map(|(kind, calls)| (kind, calls - before.calls(*kind)));
-    let grown = grown.filter(|(_, calls)| *calls > 0);
-    grown.map(|(kind, calls)| format!("{kind:?} {calls}")).collect::<Vec<_>>().join(", ")
+    let added = kinds.map(|(kind, calls)| (kind, calls - before.calls(*kind)));
+    let added = added.filter(|(_, calls)| *calls > 0);
+    added.map(|(kind, calls)| format!("{kind:?} {calls}")).collect::<Vec<_>>().join(", ")
 }
 
-/// Time until every instance has `version`, from `began`.
-fn in_force(cluster: &Cluster, version: u64, began: Instant) -> Duration {
-    cluster.wait(|cluster| (0..cluster.instances.len()).all(|n| cluster.version(n) >= version));
+/// Waits until every instance has `version`; returns the time since `began`.
+fn time_until_in_force(cluster: &Cluster, version: u64, began: Instant) -> Duration {
+    cluster
+        .wait_until(|cluster| (0..cluster.instances.len()).all(|n| cluster.version(n) >= version));
     began.elapsed()
 }
 
-/// Prints what the configuration costs. Each figure holds for one run on one machine.
+/// Prints how often the store is called and how long changes take to be in force everywhere.
+/// Figures hold for one run on one machine.
 #[test]
 #[ignore = "a measurement of a few minutes: see docs/MEASUREMENTS.md"]
 fn measure_store_calls_and_spread() {
@@ -136,10 +139,10 @@
     const QUIET: Duration = Duration::from_secs(60);
     for instances in [4, 8, 16] {
         let cluster = Cluster::start(instances);
-        assert_eq!(cluster.change(0, "1", 0, create()).status, 200);
-        cluster.wait(|cluster| (0..instances).all(|n| cluster.version(n) == 1));
+        assert_eq!(cluster.change(0, "1", 0, create_class()).status, 200);
+        cluster.wait_until(|cluster| (0..instances).all(|n| cluster.version(n) == 1));
         let before = cluster.counters();
-        let (mut answered, mut everywhere) = (Vec::new(), Vec::new());
+        let (mut answered_after, mut in_force_after) = (Vec::new(), Vec::new());
         for n in 1..=CHANGES {
             let began = Instant::now();
             let at = n as usize % instances;
@@ -147,20 +150,24 @@
                 cluster.change(at, &format!("{}", n + 1), n, set_target(10 + n)).status,
                 200
             );
-            answered.push(began.elapsed());
-            everywhere.push(in_force(&cluster, n + 1, began));
+            answered_after.push(began.elapsed());
+            in_force_after.push(time_until_in_force(&cluster, n + 1, began));
         }
         let after = cluster.counters();
-        println!("{instances} instances, {CHANGES} changes: {}", since(&before, &after));
-        for (what, times) in [("answered", &mut answered), ("in force", &mut everywhere)] {
+        println!(
+            "{instances} instances, {CHANGES} changes: {}",
+            describe_calls_since(&before, &after)
+        );
+        for (label, times) in [("answered", &mut answered_after), ("in force", &mut in_force_after)]
+        {
             times.sort();
             let (p50, worst) = (times[times.len() / 2], times[times.len() - 1]);
-            println!("  {what}: p50 {p50:.1?}, worst {worst:.1?}");
+            println!("  {label}: p50 {p50:.1?}, worst {worst:.1?}");
         }
         let before = cluster.counters();
         std::thread::sleep(QUIET);
         let after = cluster.counters();
-        println!("  {QUIET:?} without a change: {}", since(&before, &after));
+        println!("  {QUIET:?} without a change: {}", describe_calls_since(&before, &after));
         println!("  waiting watches: {}", after.waiting);
     }
 }
--- a/tests/operators/cluster.rs
+++ b/tests/operators/cluster.rs
@@ -13,11 +13,11 @@
 use std::time::{Duration, Instant};
 
 pub const TOKEN: &str = "a-token-of-the-operators";
-const LIMIT: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const FIRST_PORT: u16 = 10_000;
 const POLL: Duration = Duration::from_millis(5);
 
-static CLUSTERS: AtomicU32 = AtomicU32::new(0);
+static NEXT_CLUSTER: AtomicU32 = AtomicU32::new(0);
 
 /// A process that is killed when the guard is dropped.
 struct Process(Child);
@@ -29,7 +29,7 @@
     }
 }
 
-/// An answer.
+/// An answer to an HTTP call.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -43,12 +43,12 @@
     }
 }
 
-/// Everything that a test started; gone with it.
+/// A store and instances; dropping it kills them and, unless the test panics, removes their files.
 pub struct Cluster {
     programs: Programs,
     dir: PathBuf,
     pub store: SocketAddr,
-    /// Operators' addresses.
+    /// Addresses of the operators' interfaces.
     pub instances: Vec<SocketAddr>,
     seeds: Vec<SocketAddr>,
     addresses: Addresses,
@@ -57,7 +57,7 @@
 
 impl Cluster {
     pub fn start(instances: usize) -> Self {
-        let number = CLUSTERS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_CLUSTER.fetch_add(1, Ordering::Relaxed);
         let name = format!("operators-{}-{number}", std::process::id());
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&dir).unwrap();
@@ -78,14 +78,15 @@
             processes: vec![store],
         };
         (0..instances).for_each(|_| cluster.add_instance());
-        cluster.wait(|cluster| cluster.metric_everywhere("members", instances as u64));
+        cluster.wait_until(|cluster| cluster.has_metric_everywhere("members", instances as u64));
         cluster
     }
 
     pub fn add_instance(&mut self) {
         let n = self.instances.len();
         let addresses = &mut self.addresses;
-        let [callers, peers, operators] = [addresses.take(), addresses.take(), addresses.take()];
+        let [callers, peers, operators] =
+            [addresses.next_free(), addresses.next_free(), addresses.next_free()];
         let seeds: Vec<String> = self.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
         let settings = format!(
             "[instance]\nname = \"e{n}\"\ndomain = \"d{}\"\n[listen]\ncallers = \"{callers}\"\n\
@@ -105,7 +106,7 @@
         self.processes.push(Process(child));
         self.instances.push(operators);
         self.seeds.push(peers);
-        self.wait(|_| try_call(operators, "GET", "/healthz", "", b"").is_some());
+        self.wait_until(|_| try_call(operators, "GET", "/healthz", "", b"").is_some());
     }
 
     pub fn get(&self, n: usize, path: &str) -> Answer {
@@ -123,14 +124,14 @@
     }
 
     /// Runs `galenactl` against an instance, with the token.
-    pub fn galenactl(&self, n: usize, words: &[&str]) -> Output {
+    pub fn galenactl(&self, n: usize, args: &[&str]) -> Output {
         let mut command = Command::new(&self.programs.operator);
         command.arg("--instance").arg(self.instances[n].to_string());
         command.arg("--token-file").arg(self.dir.join("token"));
-        command.args(words).output().unwrap()
+        command.args(args).output().unwrap()
     }
 
-    /// A file of the cluster's directory.
+    /// Path of a file in the cluster's directory.
     pub fn file(&self, name: &str) -> PathBuf {
         self.dir.join(name)
     }
@@ -140,11 +141,15 @@
         serde_json::from_slice(&answer.body).unwrap()
     }
 
-    /// Waits until a condition holds.
-    pub fn wait(&self, holds: impl Fn(&Self) -> bool) {
+    /// Waits until a condition holds; panics with the logs of all instances after [`WAIT_TIMEOUT`].
+    pub fn wait_until(&self, holds: impl Fn(&Self) -> bool) {
         let began = Instant::now();
         while !holds(self) {
-            assert!(began.elapsed() < LIMIT, "not within {LIMIT:?}: {}", self.logs());
+            assert!(
+                began.elapsed() < WAIT_TIMEOUT,
+                "condition not met within {WAIT_TIMEOUT:?}: {}",
+                self.logs()
+            );
             std::thread::sleep(POLL);
         }
     }
@@ -156,7 +161,7 @@
             .collect()
     }
 
-    fn metric_everywhere(&self, name: &str, value: u64) -> bool {
+    fn has_metric_everywhere(&self, name: &str, value: u64) -> bool {
         let line = format!("galenapath_{name} {value}");
         let has = |n| {
             let text = String::from_utf8(self.get(n, "/metrics").body).unwrap();
@@ -199,8 +204,8 @@
     Some(Answer { status, head, body })
 }
 
-/// Addresses on a loopback IP of the cluster's own, below the ports that the system gives to
-/// outgoing connections, so that nothing else takes one between here and the instance's start.
+/// Addresses on a loopback IP that only this cluster uses. The ports are below those that the
+/// system assigns to outgoing connections, so that no other process takes one before the instance starts.
 struct Addresses {
     ip: Ipv4Addr,
     next: u16,
@@ -213,7 +218,7 @@
         Self { ip: Ipv4Addr::new(127, a.clamp(1, 254), b, c.clamp(2, 254)), next: FIRST_PORT }
     }
 
-    fn take(&mut self) -> SocketAddr {
+    fn next_free(&mut self) -> SocketAddr {
         loop {
             let address = SocketAddr::new(self.ip.into(), self.next);
             self.next += 1;
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,4 +1,4 @@
-//! The instance as a process: settings, ports, descriptors, memory and its end.
+//! The instance as a process: its settings, ports, descriptors, memory and shutdown.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, reason = "a test fails by panicking")]
 
@@ -12,29 +12,30 @@
     Client, FakeServer, Instance, Setup, answer_ok, command, get, new_dir, write_settings,
 };
 
-/// Callers' ends of idle connections; below the limit of descriptors of one process.
+/// Number of idle caller connections; below the descriptor limit of one process.
 const IDLE_CALLERS: usize = 10_000;
 
-/// Most memory that an idle caller may cost, in bytes.
+/// Most memory that an idle caller connection may use, in bytes.
 const IDLE_CALLER_MEMORY: usize = 8 * 1024;
 
 /// Size of a large body, in bytes.
-const LARGE: usize = 200 * 1024 * 1024;
+const LARGE_BODY: usize = 200 * 1024 * 1024;
 
-/// Most memory that a large body may cost beyond a small one, in bytes.
+/// Most additional memory that a large body may use, in bytes.
 const LARGE_BODY_MEMORY: usize = 8 * 1024 * 1024;
 
-fn nowhere() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     "127.0.0.1:9".parse().unwrap()
 }
 
 #[test]
-fn process_check_settings_told() {
+fn process_check_settings_reported() {
     let dir = new_dir();
-    let file = write_settings(&dir, "127.0.0.1:0", nowhere(), "");
+    let file = write_settings(&dir, "127.0.0.1:0", unused_address(), "");
     let good = command(&file).arg("--check-settings").output().unwrap();
     assert!(good.status.success());
-    let file = write_settings(&dir, "127.0.0.1:0", nowhere(), "idle_timeout = \"5 parsecs\"");
+    let file =
+        write_settings(&dir, "127.0.0.1:0", unused_address(), "idle_timeout = \"5 parsecs\"");
     let bad = command(&file).arg("--check-settings").output().unwrap();
     assert_eq!(bad.status.code(), Some(2));
     let text = String::from_utf8(bad.stderr).unwrap();
@@ -49,7 +50,7 @@
     std::fs::write(dir.join("token"), "secret\n").unwrap();
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
-    let file = write_settings(&dir, &address, nowhere(), "");
+    let file = write_settings(&dir, &address, unused_address(), "");
     let output = command(&file).output().unwrap();
     assert_eq!(output.status.code(), Some(1));
     let text = String::from_utf8(output.stderr).unwrap();
@@ -130,10 +131,10 @@
 fn process_large_bodies_no_more_memory() {
     let server = FakeServer::start(|io, req| {
         if req.path() == "/down" {
-            let _ = write!(io, "HTTP/1.1 200 OK\r\ncontent-length: {LARGE}\r\n\r\n");
-            let piece = vec![b'x'; 1024 * 1024];
-            for _ in 0..LARGE / piece.len() {
-                let _ = io.write_all(&piece);
+            let _ = write!(io, "HTTP/1.1 200 OK\r\ncontent-length: {LARGE_BODY}\r\n\r\n");
+            let chunk = vec![b'x'; 1024 * 1024];
+            for _ in 0..LARGE_BODY / chunk.len() {
+                let _ = io.write_all(&chunk);
             }
             return ControlFlow::Break(());
         }
@@ -148,18 +149,18 @@
     let up = instance.memory();
     download(&instance);
     let down = instance.memory();
-    let most = before + LARGE_BODY_MEMORY;
-    assert!(up < most && down < most, "before {before}, up {up}, down {down}");
+    let max = before + LARGE_BODY_MEMORY;
+    assert!(up < max && down < max, "before {before}, up {up}, down {down}");
 }
 
 fn upload(instance: &Instance) {
     let mut client = Client::connect(instance.callers);
-    client.send(&format!("POST /up HTTP/1.1\r\nHost: s\r\nContent-Length: {LARGE}\r\n\r\n"));
-    let piece = vec![b'x'; 1024 * 1024];
-    for _ in 0..LARGE / piece.len() {
-        client.io.write_all(&piece).unwrap();
+    client.send(&format!("POST /up HTTP/1.1\r\nHost: s\r\nContent-Length: {LARGE_BODY}\r\n\r\n"));
+    let chunk = vec![b'x'; 1024 * 1024];
+    for _ in 0..LARGE_BODY / chunk.len() {
+        client.io.write_all(&chunk).unwrap();
     }
-    assert_eq!(client.answer().text(), LARGE.to_string());
+    assert_eq!(client.answer().text(), LARGE_BODY.to_string());
 }
 
 fn download(instance: &Instance) {
@@ -174,5 +175,5 @@
         }
         total += n;
     }
-    assert!(total > LARGE && total < LARGE + 4096, "{total}");
+    assert!(total > LARGE_BODY && total < LARGE_BODY + 4096, "{total}");
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,37 +1,37 @@
-//! Every scenario under `scenarios/`, one test for each.
+//! One test for each scenario in `scenarios/`.
 //!
-//! They live here and not beside the runner, so that `cargo test --workspace` builds the programs
-//! that they start.
+//! The tests are in this package and not in that of the runner, so that `cargo test --workspace`
+//! builds the programs that they start.
 
 use galenapath_dev::scenario::{Programs, run_file};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// Scenarios that run side by side; each starts up to a dozen processes.
-const SIDE_BY_SIDE: usize = 4;
+/// Scenarios that may run concurrently; each starts up to a dozen processes.
+const MAX_CONCURRENT: usize = 4;
 
-static FREE: Mutex<usize> = Mutex::new(SIDE_BY_SIDE);
-static FREED: Condvar = Condvar::new();
+static FREE_PERMITS: Mutex<usize> = Mutex::new(MAX_CONCURRENT);
+static PERMIT_FREED: Condvar = Condvar::new();
 
-/// A place among the scenarios that run; dropping it frees the place.
-struct Place;
+/// Permission to run one scenario; released on drop.
+struct Permit;
 
-impl Place {
+impl Permit {
     fn take() -> Self {
-        let mut free = FREE.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut free = FREE_PERMITS.lock().unwrap_or_else(PoisonError::into_inner);
         while *free == 0 {
-            free = FREED.wait(free).unwrap_or_else(PoisonError::into_inner);
+            free = PERMIT_FREED.wait(free).unwrap_or_else(PoisonError::into_inner);
         }
         *free -= 1;
         Self
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
-        *FREE.lock().unwrap_or_else(PoisonError::into_inner) += 1;
-        FREED.notify_one();
+        *FREE_PERMITS.lock().unwrap_or_else(PoisonError::into_inner) += 1;
+        PERMIT_FREED.notify_one();
     }
 }
 
@@ -40,12 +40,12 @@
 }
 
 fn run(name: &str) {
-    let _place = Place::take();
+    let _permit = Permit::take();
     let programs = Programs::beside_test().unwrap_or_else(|e| panic!("{e}"));
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap_or_else(|e| panic!("{}: {e}", dir.display()));
     let result = run_file(&directory().join(format!("{name}.scn")), programs, &dir);
-    // The files of a failed scenario stay for whoever looks into it.
+    // The files of a failed scenario stay for inspection.
     result.unwrap_or_else(|e| panic!("{e}"));
     std::fs::remove_dir_all(&dir).unwrap_or_else(|e| panic!("{}: {e}", dir.display()));
 }
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -1,32 +1,32 @@
-//! A caller that sends bytes and reads answers strictly.
+//! A caller that sends arbitrary bytes and parses answers strictly.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Longest wait for bytes.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Longest time to wait for bytes.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An answer as a caller sees it.
+/// An answer as a caller receives it.
 #[derive(Debug)]
 pub struct Answer {
-    /// Status; 0 where the connection ended before a whole head.
+    /// Status; 0 if the connection ended before a complete head.
     pub status: u16,
     /// Header names in lower case, with their values.
     pub headers: Vec<(String, String)>,
     /// Body without its framing.
     pub body: Vec<u8>,
-    /// Whether the framing says that the body is whole.
+    /// Whether the body is complete by its framing.
     pub is_whole: bool,
 }
 
 impl Answer {
-    /// Value of a header.
+    /// Value of the header `name`, which is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
 
-    /// The verdict.
+    /// Value of the verdict header; empty if it is missing.
     pub fn verdict(&self) -> &str {
         self.header("galenapath-verdict").unwrap_or("")
     }
@@ -44,7 +44,7 @@
     input: Vec<u8>,
 }
 
-/// Asks `path` of service `s` on a connection of its own.
+/// Requests `path` of service `s` on a new connection.
 pub fn get(address: SocketAddr, path: &str, headers: &str) -> Answer {
     let mut client = Client::connect(address);
     client.get(path, headers);
@@ -52,15 +52,13 @@
 }
 
 impl Client {
-    /// Connects.
     pub fn connect(address: SocketAddr) -> Self {
         let io = TcpStream::connect(address).unwrap();
-        io.set_read_timeout(Some(LIMIT)).unwrap();
+        io.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         io.set_nodelay(true).unwrap();
         Self { io, input: Vec::new() }
     }
 
-    /// Sends bytes.
     pub fn send(&mut self, text: &str) {
         self.io.write_all(text.as_bytes()).unwrap();
     }
@@ -116,10 +114,10 @@
             let Some(line) = self.take_until(b"\r\n") else { return false };
             let line = String::from_utf8(line).unwrap();
             let size = usize::from_str_radix(line.trim_end(), 16).unwrap();
-            let is_there = self.fill_to(size + 2);
+            let is_complete = self.fill_to(size + 2);
             let have = size.min(self.input.len());
             body.extend(self.input.drain(..have));
-            if !is_there {
+            if !is_complete {
                 return false;
             }
             assert_eq!(self.input.drain(..2).collect::<Vec<_>>(), b"\r\n");
@@ -149,7 +147,7 @@
         true
     }
 
-    /// Reads once; `false` at the end.
+    /// Reads once; `false` at the end of the connection.
     fn fill(&mut self) -> bool {
         let mut buf = [0; 64 * 1024];
         match self.io.read(&mut buf) {
--- a/tests/support/instance.rs
+++ b/tests/support/instance.rs
@@ -1,4 +1,4 @@
-//! A process of the instance under test.
+//! The process of the instance under test.
 
 use super::server::FakeServer;
 use galenapath_dev::store::{StoreOptions, serve};
@@ -10,19 +10,22 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything that should happen.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Longest time to wait for a condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until `condition` holds; panics when it does not in time.
+/// Waits until `condition` holds; panics after [`WAIT_TIMEOUT`].
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < LIMIT, "in vain: {what}");
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out after {WAIT_TIMEOUT:?} waiting for {what}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// What an instance is started with.
+/// Settings, classes and servers that an instance is started with.
 #[derive(Default)]
 pub struct Setup {
     /// Lines of the `[limits]` table.
@@ -46,9 +49,9 @@
 
 /// A running instance; killed when dropped.
 pub struct Instance {
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Address for operators.
     pub operators: SocketAddr,
     child: Child,
 }
@@ -58,7 +61,7 @@
     pub fn start(setup: &Setup) -> Self {
         let store = start_store();
         for (n, server) in setup.servers.iter().enumerate() {
-            list(store, n, *server);
+            register_server(store, n, *server);
         }
         let dir = new_dir();
         let token = dir.join("token");
@@ -86,7 +89,7 @@
                 }
             }
         });
-        let line = rx.recv_timeout(LIMIT).unwrap();
+        let line = rx.recv_timeout(WAIT_TIMEOUT).unwrap();
         let field = |name: &str| {
             let value = line.split_whitespace().find_map(|f| f.strip_prefix(name)).unwrap();
             value.parse().unwrap()
@@ -102,19 +105,18 @@
         kilobytes * 1024
     }
 
-    /// A file or directory about the process.
+    /// Path of a file or directory of the process in `/proc`.
     pub fn proc(&self, name: &str) -> PathBuf {
         PathBuf::from(format!("/proc/{}/{name}", self.child.id()))
     }
 
-    /// A figure of `/metrics`; 0 where it is missing.
+    /// Value of a metric; 0 if it is missing.
     pub fn metric(&self, name: &str) -> f64 {
         let text = super::get(self.operators, "/metrics", "").text();
         let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
         value.map_or(0.0, |value| value.parse().unwrap())
     }
 
-    /// Whether the process still runs.
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
@@ -139,14 +141,14 @@
     }
 }
 
-/// The program with a settings file.
+/// A command that runs the program with a settings file.
 pub fn command(settings: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_galenapath"));
     command.arg("--settings").arg(settings);
     command
 }
 
-/// A new directory of the test's own.
+/// Creates a directory that no other test uses.
 pub fn new_dir() -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -156,7 +158,8 @@
     dir
 }
 
-/// Writes a settings file into `dir`, with free ports but for the callers' address.
+/// Writes a settings file into `dir`. All addresses but that for callers have a port that the
+/// system chooses.
 pub fn write_settings(dir: &Path, callers: &str, store: SocketAddr, limits: &str) -> PathBuf {
     let token = dir.join("token");
     let text = format!(
@@ -182,10 +185,10 @@
             serve(listener, StoreOptions { call_ms: 1, ..StoreOptions::default() }).await;
         });
     });
-    rx.recv_timeout(LIMIT).unwrap()
+    rx.recv_timeout(WAIT_TIMEOUT).unwrap()
 }
 
-fn list(store: SocketAddr, n: usize, server: SocketAddr) {
+fn register_server(store: SocketAddr, n: usize, server: SocketAddr) {
     let body = format!(
         "{{\"ID\":\"b{n}\",\"Name\":\"backend\",\"Address\":\"{}\",\"Port\":{},\"Meta\":\
          {{\"service\":\"s\",\"domain\":\"d1\",\"state\":\"live\",\"started\":\"1\"}}}}",
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A running instance with the platform's stand-in, hostile backend servers and plain callers.
+//! A running instance with a stand-in for the store, scripted backend servers and plain callers.
 
 #![allow(dead_code, unused_imports, reason = "each test file uses a part of it")]
 
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -1,14 +1,14 @@
-//! A backend server whose answers are written byte by byte by the test.
+//! A backend server whose answers are the exact bytes that a test writes.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::ops::ControlFlow;
 use std::sync::Arc;
 
-/// A load report of a server that is idle.
+/// Load report of an idle server.
 const REPORT: &str = "galenapath-report: in-flight=0;waiting=0;slots=6;leaving=0\r\n";
 
-/// A request as it reached the backend server.
+/// A request as the backend server received it.
 pub struct Request {
     /// Method and path.
     pub line: String,
@@ -31,7 +31,7 @@
     write(io, &[head.as_bytes(), body].concat())
 }
 
-/// Writes bytes; ends the connection where the peer has closed.
+/// Writes bytes; ends the connection if the peer has closed it.
 fn write(io: &mut TcpStream, bytes: &[u8]) -> ControlFlow<()> {
     match io.write_all(bytes) {
         Ok(()) => ControlFlow::Continue(()),
@@ -39,14 +39,14 @@
     }
 }
 
-/// A listening server; probes of its load are answered by itself.
+/// A listening server. It answers load queries itself, without the handler of the test.
 pub struct FakeServer {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
 }
 
 impl FakeServer {
-    /// Serves each request with `handler`, whose `Break` closes the connection.
+    /// Serves each request with `handler`; `Break` from it closes the connection.
     pub fn start(
         handler: impl Fn(&mut TcpStream, Request) -> ControlFlow<()> + Send + Sync + 'static,
     ) -> Self {
