--- a/crates/galenapath-config/src/acceptance.rs
+++ b/crates/galenapath-config/src/acceptance.rs
@@ -1,8 +1,8 @@
 //! Accepting one change: read the head, propose, swap, and read back where the answer is lost.
 
 use crate::{
-    AuditPage, Chain, ChangeRequest, Config, Cut, FollowError, Head, Limits, Proposal, Refusal,
-    Replica, Version, propose,
+    AuditPage, Chain, ChangeRejection, ChangeRequest, Compaction, Config, FollowError, Head,
+    Proposal, Replica, TailLimits, Version, propose,
 };
 use galenapath_protocol::Verdict;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
     ReadSnapshot(Version),
     /// Create the snapshot and then the page where they are absent; answer with
     /// [`Event::CutWritten`], also where they were there, or [`Event::Failed`].
-    WriteCut {
+    WriteCompaction {
         /// The snapshot.
         snapshot: Arc<Config>,
         /// The page.
@@ -55,15 +55,15 @@
     /// The snapshot.
     Snapshot(Arc<Config>),
     /// Snapshot and page are in the store.
-    CutWritten,
+    CompactionWritten,
     /// The new head is in the store.
     Swapped,
     /// The store had another index; nothing was written.
-    Raced,
+    SwapConflict,
     /// The action failed; whether it may have taken effect.
     Failed(Verdict),
     /// There is no time left.
-    GiveUp,
+    TimedOut,
 }
 
 /// What the operator is told.
@@ -78,7 +78,7 @@
     },
     /// The change is not accepted, and no swap under way can still bring it in. The exception is
     /// [`Refusal::BaseTooOld`], where an earlier request of the same identifier may have.
-    Refused(Refusal),
+    Rejected(ChangeRejection),
     /// The store could not be used.
     Unavailable(Verdict),
     /// The store's head is older than what this instance knows, or of another chain.
@@ -100,7 +100,7 @@
 pub struct Acceptance {
     req: ChangeRequest,
     at_unix_ms: u64,
-    limits: Limits,
+    limits: TailLimits,
     /// What the instance knew at the start; a store that is older is not built upon.
     known: Replica,
     state: State,
@@ -112,7 +112,7 @@
 
 impl Acceptance {
     /// Starts; the first action is [`Action::ReadHead`].
-    pub fn new(req: ChangeRequest, known: Replica, at_unix_ms: u64, limits: Limits) -> Self {
+    pub fn new(req: ChangeRequest, known: Replica, at_unix_ms: u64, limits: TailLimits) -> Self {
         let state = State::Reading;
         Self { req, at_unix_ms, limits, known, state, swaps: 0, unknown: None }
     }
@@ -124,18 +124,18 @@
             (State::ReadingSnapshot { index, head }, Event::Snapshot(config)) => {
                 self.on_followed(index, Chain::follow(&config, head))
             }
-            (State::WritingCut { index, proposal, chain }, Event::CutWritten) => {
+            (State::WritingCut { index, proposal, chain }, Event::CompactionWritten) => {
                 self.swap(index, proposal, &chain)
             }
             (State::Swapping { version, next, .. }, Event::Swapped) => {
                 Action::Answer(Outcome::Accepted { version, chain: next })
             }
-            (State::Swapping { .. }, Event::Raced) => self.read_again(),
+            (State::Swapping { .. }, Event::SwapConflict) => self.read_again(),
             (State::Swapping { index, .. }, Event::Failed(Verdict::MayHaveRun)) => {
                 self.unknown = Some(index);
                 self.read_again()
             }
-            (State::Swapping { index, .. }, Event::GiveUp) => {
+            (State::Swapping { index, .. }, Event::TimedOut) => {
                 self.unknown = Some(index);
                 self.unavailable()
             }
@@ -174,20 +174,20 @@
         }
         match propose(&chain, &self.req, self.at_unix_ms, self.limits) {
             Ok(proposal) => self.carry_out(index, proposal, chain),
-            Err(Refusal::AlreadyAccepted { version }) => {
+            Err(ChangeRejection::AlreadyAccepted { version }) => {
                 Action::Answer(Outcome::Accepted { version, chain })
             }
             Err(_) if self.unknown.is_some() => self.unavailable(),
-            Err(refusal) => Action::Answer(Outcome::Refused(refusal)),
+            Err(refusal) => Action::Answer(Outcome::Rejected(refusal)),
         }
     }
 
     fn carry_out(&mut self, index: HeadIndex, proposal: Proposal, chain: Chain) -> Action {
-        let Some(Cut { page, snapshot }) = proposal.cut.clone() else {
+        let Some(Compaction { page, snapshot }) = proposal.compaction.clone() else {
             return self.swap(index, proposal, &chain);
         };
         self.state = State::WritingCut { index, proposal, chain };
-        Action::WriteCut { snapshot, page }
+        Action::WriteCompaction { snapshot, page }
     }
 
     fn swap(&mut self, index: HeadIndex, proposal: Proposal, chain: &Chain) -> Action {
--- a/crates/galenapath-config/src/chain.rs
+++ b/crates/galenapath-config/src/chain.rs
@@ -1,6 +1,6 @@
 //! A head together with the configuration that it describes.
 
-use crate::{Broken, ChangeRecord, Config, Head, Limits, Version};
+use crate::{ChainError, ChangeRecord, Config, Head, TailLimits, Version};
 use std::sync::Arc;
 use thiserror::Error;
 
@@ -26,7 +26,7 @@
     Older(Version),
     /// The head does not belong to the configuration's chain.
     #[error(transparent)]
-    Broken(#[from] Broken),
+    Chain(#[from] ChainError),
 }
 
 impl Chain {
@@ -40,14 +40,18 @@
             return Err(FollowError::Gap { snapshot: head.snapshot() });
         }
         let newer = head.tail().iter().filter(|record| record.version > version);
-        let config = Arc::new(config.after(newer)?);
+        let config = Arc::new(config.with_records(newer)?);
         Ok(Self { head, config })
     }
 
     /// The chain after `records`, of which the first must be the next. The head is the one that the
     /// store has at that version: its tail is cut at the same places.
-    pub fn extended(&self, records: &[ChangeRecord], limits: Limits) -> Result<Self, Broken> {
-        let config = Arc::new(self.config.after(records)?);
+    pub fn with_records(
+        &self,
+        records: &[ChangeRecord],
+        limits: TailLimits,
+    ) -> Result<Self, ChainError> {
+        let config = Arc::new(self.config.with_records(records)?);
         let add = |head: Head, record: &ChangeRecord| match head.cut(limits) {
             Some((cut, _)) => cut.with(record.clone()),
             None => head.with(record.clone()),
--- a/crates/galenapath-config/src/change.rs
+++ b/crates/galenapath-config/src/change.rs
@@ -71,7 +71,7 @@
     }
 
     /// Whether the record is what accepting `req` at its base gave.
-    pub fn is_from(&self, req: &ChangeRequest) -> bool {
+    pub fn is_result_of(&self, req: &ChangeRequest) -> bool {
         let same_effect = match (&req.change, &self.to) {
             (Change::CreateClass(class), Some(to)) => {
                 let unversioned = Class { revision: class.revision, ..to.clone() };
--- a/crates/galenapath-config/src/check.rs
+++ b/crates/galenapath-config/src/check.rs
@@ -13,7 +13,7 @@
 /// A field of a change request that cannot be accepted.
 #[derive(Clone, Debug, Error, PartialEq, Eq, Hash)]
 #[error("{field} {problem}")]
-pub struct Invalid {
+pub struct InvalidField {
     /// The field.
     pub field: &'static str,
     /// What is wrong with it, and what it should be.
@@ -21,7 +21,7 @@
 }
 
 /// Checks every field of a request.
-pub(crate) fn check_request(req: &ChangeRequest) -> Result<(), Invalid> {
+pub(crate) fn check_request(req: &ChangeRequest) -> Result<(), InvalidField> {
     check_name("id", &req.id.0)?;
     check_author(&req.author)?;
     match &req.change {
@@ -34,7 +34,7 @@
     }
 }
 
-fn check_class(class: &Class) -> Result<(), Invalid> {
+fn check_class(class: &Class) -> Result<(), InvalidField> {
     check_name("class", &class.name)?;
     check_name("service", &class.service)?;
     check_latency(class.target.latency_ms)?;
@@ -42,35 +42,35 @@
     check_prefix(&class.path_prefix)
 }
 
-fn check_name(field: &'static str, name: &str) -> Result<(), Invalid> {
+fn check_name(field: &'static str, name: &str) -> Result<(), InvalidField> {
     let fits = (1..=MAX_NAME).contains(&name.len());
     let plain = name.bytes().all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b));
     ensure(fits && plain, field, "must be 1 to 64 letters, digits, `.`, `_` or `-`")
 }
 
-fn check_author(author: &str) -> Result<(), Invalid> {
+fn check_author(author: &str) -> Result<(), InvalidField> {
     let fits = (1..=MAX_NAME).contains(&author.chars().count());
     let printable = !author.chars().any(char::is_control);
     ensure(fits && printable, "author", "must be 1 to 64 printable characters")
 }
 
-fn check_latency(latency_ms: u32) -> Result<(), Invalid> {
+fn check_latency(latency_ms: u32) -> Result<(), InvalidField> {
     ensure(latency_ms > 0, "latency_ms", "must be at least 1")
 }
 
-fn check_methods(methods: &[String]) -> Result<(), Invalid> {
+fn check_methods(methods: &[String]) -> Result<(), InvalidField> {
     let upper = |m: &String| !m.is_empty() && m.bytes().all(|b| b.is_ascii_uppercase());
     let short = |m: &String| m.len() <= MAX_NAME;
     let fits = methods.len() <= MAX_METHODS && methods.iter().all(|m| upper(m) && short(m));
     ensure(fits, "methods", "must be at most 16 methods in upper case, such as `GET`")
 }
 
-fn check_prefix(prefix: &str) -> Result<(), Invalid> {
+fn check_prefix(prefix: &str) -> Result<(), InvalidField> {
     let plain = prefix.bytes().all(|b| b.is_ascii_graphic() && b != b'?' && b != b'#');
     let fits = prefix.starts_with('/') && prefix.len() <= MAX_PREFIX;
     ensure(plain && fits, "path_prefix", "must be a path of at most 256 bytes that starts with `/`")
 }
 
-fn ensure(holds: bool, field: &'static str, problem: &'static str) -> Result<(), Invalid> {
-    if holds { Ok(()) } else { Err(Invalid { field, problem }) }
+fn ensure(holds: bool, field: &'static str, problem: &'static str) -> Result<(), InvalidField> {
+    if holds { Ok(()) } else { Err(InvalidField { field, problem }) }
 }
--- a/crates/galenapath-config/src/config.rs
+++ b/crates/galenapath-config/src/config.rs
@@ -19,14 +19,14 @@
     classes: BTreeMap<String, Arc<Class>>,
     /// The last change of each class, of removed ones too, so that a change that was overtaken by
     /// a removal is never accepted a second time.
-    marks: BTreeMap<String, Mark>,
+    marks: BTreeMap<String, LastChange>,
     /// The classes of each service, longest prefix first. Follows from `classes`.
     routes: BTreeMap<String, Vec<Arc<Class>>>,
 }
 
 /// The last change of a class.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Mark {
+pub struct LastChange {
     /// Version that the change made.
     pub revision: Version,
     /// Identifier of the change.
@@ -35,10 +35,10 @@
 
 /// A record or a part that does not fit the chain of changes.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum Broken {
+pub enum ChainError {
     /// The record does not follow the version.
     #[error("version {record} does not follow version {config}")]
-    NotNext {
+    NotConsecutive {
         /// Version of the configuration.
         config: Version,
         /// Version of the record.
@@ -46,7 +46,7 @@
     },
     /// The record starts from another class than the configuration has.
     #[error("the change to version {0} starts from another class than there is")]
-    OtherFrom(Version),
+    ClassMismatch(Version),
     /// Parts that contradict each other.
     #[error("{0}")]
     Inconsistent(&'static str),
@@ -57,18 +57,18 @@
     pub fn new(
         version: Version,
         classes: impl IntoIterator<Item = Class>,
-        marks: BTreeMap<String, Mark>,
-    ) -> Result<Self, Broken> {
+        marks: BTreeMap<String, LastChange>,
+    ) -> Result<Self, ChainError> {
         let named = |class: Class| (class.name.clone(), Arc::new(class));
         let classes: BTreeMap<String, Arc<Class>> = classes.into_iter().map(named).collect();
         let marked = |class: &Arc<Class>| {
             marks.get(&class.name).is_some_and(|mark| mark.revision == class.revision)
         };
         if !classes.values().all(marked) {
-            return Err(Broken::Inconsistent("a class is not at its last revision"));
+            return Err(ChainError::Inconsistent("a class is not at its last revision"));
         }
         if marks.values().any(|mark| mark.revision > version) {
-            return Err(Broken::Inconsistent("a revision is newer than the version"));
+            return Err(ChainError::Inconsistent("a revision is newer than the version"));
         }
         let routes = routes(&classes);
         Ok(Self { version, classes, marks, routes })
@@ -90,7 +90,7 @@
     }
 
     /// The last change of each class by name, of removed ones too.
-    pub fn marks(&self) -> &BTreeMap<String, Mark> {
+    pub fn last_changes(&self) -> &BTreeMap<String, LastChange> {
         &self.marks
     }
 
@@ -102,7 +102,7 @@
     /// Upper bound of the size of a snapshot once `class` is in, in bytes.
     pub(crate) fn snapshot_bytes_with(&self, class: &Class) -> usize {
         let classes: usize = self.classes().map(Class::snapshot_bytes).sum();
-        let mark = |(name, mark): (&String, &Mark)| name.len() + mark.id.0.len() + MARK_BYTES;
+        let mark = |(name, mark): (&String, &LastChange)| name.len() + mark.id.0.len() + MARK_BYTES;
         let marks: usize = self.marks.iter().map(mark).sum();
         let new = class.snapshot_bytes() + class.name.len() + MAX_NAME + MARK_BYTES;
         ENVELOPE_BYTES + classes + marks + new
@@ -116,10 +116,10 @@
     }
 
     /// The configuration after `records`, of which the first must be the next.
-    pub fn after<'a>(
+    pub fn with_records<'a>(
         &self,
         records: impl IntoIterator<Item = &'a ChangeRecord>,
-    ) -> Result<Self, Broken> {
+    ) -> Result<Self, ChainError> {
         let mut next = self.clone();
         for record in records {
             next.advance(record)?;
@@ -129,19 +129,22 @@
     }
 
     /// Takes in one record, but for the routes.
-    fn advance(&mut self, record: &ChangeRecord) -> Result<(), Broken> {
+    fn advance(&mut self, record: &ChangeRecord) -> Result<(), ChainError> {
         if record.version != self.version.next() {
-            return Err(Broken::NotNext { config: self.version, record: record.version });
+            return Err(ChainError::NotConsecutive {
+                config: self.version,
+                record: record.version,
+            });
         }
         let name = record.class_name().to_owned();
         if self.class(&name) != record.from.as_ref() {
-            return Err(Broken::OtherFrom(record.version));
+            return Err(ChainError::ClassMismatch(record.version));
         }
         match &record.to {
             Some(class) => self.classes.insert(name.clone(), Arc::new(class.clone())),
             None => self.classes.remove(&name),
         };
-        let mark = Mark { revision: record.version, id: record.id.clone() };
+        let mark = LastChange { revision: record.version, id: record.id.clone() };
         self.marks.insert(name, mark);
         self.version = record.version;
         Ok(())
--- a/crates/galenapath-config/src/convert.rs
+++ b/crates/galenapath-config/src/convert.rs
@@ -5,8 +5,8 @@
     HeadWire, MarkWire, RemoveClassWire, SetTargetWire, SnapshotWire, TargetWire,
 };
 use crate::{
-    AuditPage, Broken, Change, ChangeId, ChangeRecord, ChangeRequest, Class, ClassKind, Config,
-    Head, Mark, Share, Target, Version,
+    AuditPage, ChainError, Change, ChangeId, ChangeRecord, ChangeRequest, Class, ClassKind, Config,
+    Head, LastChange, Share, Target, Version,
 };
 use thiserror::Error;
 
@@ -24,7 +24,7 @@
     Record(u64),
     /// Parts that contradict each other.
     #[error(transparent)]
-    Broken(#[from] Broken),
+    Chain(#[from] ChainError),
 }
 
 impl From<ClassKind> for ClassKindWire {
@@ -221,7 +221,7 @@
         Self {
             version: config.version().0,
             classes: config.classes().map(Into::into).collect(),
-            marks: mark_wires(config),
+            marks: last_change_wires(config),
         }
     }
 }
@@ -233,7 +233,7 @@
         let classes: Result<Vec<Class>, _> =
             wire.classes.into_iter().map(TryInto::try_into).collect();
         let mark = |wire: MarkWire| {
-            (wire.class, Mark { revision: Version(wire.revision), id: ChangeId(wire.id) })
+            (wire.class, LastChange { revision: Version(wire.revision), id: ChangeId(wire.id) })
         };
         let marks = wire.marks.into_iter().map(mark).collect();
         Ok(Self::new(Version(wire.version), classes?, marks)?)
@@ -241,12 +241,12 @@
 }
 
 /// The marks of a configuration, by name of the class.
-pub fn mark_wires(config: &Config) -> Vec<MarkWire> {
-    config.marks().iter().map(|(class, mark)| mark_wire(class, mark)).collect()
+pub fn last_change_wires(config: &Config) -> Vec<MarkWire> {
+    config.last_changes().iter().map(|(class, mark)| last_change_wire(class, mark)).collect()
 }
 
 /// The mark of one class.
-pub fn mark_wire(class: &str, mark: &Mark) -> MarkWire {
+pub fn last_change_wire(class: &str, mark: &LastChange) -> MarkWire {
     MarkWire { class: class.to_owned(), revision: mark.revision.0, id: mark.id.0.clone() }
 }
 
--- a/crates/galenapath-config/src/head.rs
+++ b/crates/galenapath-config/src/head.rs
@@ -1,24 +1,24 @@
 //! The head of the chain of changes: the one value in the store that every change swaps.
 
-use crate::{Broken, ChangeId, ChangeRecord, Version};
+use crate::{ChainError, ChangeId, ChangeRecord, Version};
 
 /// Key of the head in the store.
 pub const HEAD_KEY: &str = "config/head";
 
 /// When the tail of the head is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Limits {
+pub struct TailLimits {
     /// Most records in the tail.
-    pub tail: usize,
+    pub max_records: usize,
     /// Records that go into a page of the audit trail when the tail is full; at most `tail`.
-    pub page: usize,
+    pub page_records: usize,
 }
 
-impl Limits {
+impl TailLimits {
     /// What the programs use. With the field limits of a class a record stays under 2 KB, so a
     /// head of 64 stays far under the store's 1 MB, and cutting costs two writes in 32 changes. At
     /// least 32 records stay, so that a change that is sent again is found without a page.
-    pub const DEFAULT: Self = Self { tail: 64, page: 32 };
+    pub const DEFAULT: Self = Self { max_records: 64, page_records: 32 };
 }
 
 /// The head: the last changes, and where the older ones are.
@@ -45,17 +45,17 @@
         version: Version,
         snapshot: Version,
         tail: Vec<ChangeRecord>,
-    ) -> Result<Self, Broken> {
+    ) -> Result<Self, ChainError> {
         let first = version.0.checked_sub(tail.len() as u64);
         let Some(before) = first else {
-            return Err(Broken::Inconsistent("the tail is longer than the chain"));
+            return Err(ChainError::Inconsistent("the tail is longer than the chain"));
         };
         let gapless = (before + 1..).zip(&tail).all(|(version, r)| r.version == Version(version));
         if !gapless {
-            return Err(Broken::Inconsistent("the tail has a gap"));
+            return Err(ChainError::Inconsistent("the tail has a gap"));
         }
         if snapshot.0 < before || snapshot > version {
-            return Err(Broken::Inconsistent("the tail does not reach the snapshot"));
+            return Err(ChainError::Inconsistent("the tail does not reach the snapshot"));
         }
         Ok(Self { version, snapshot, tail })
     }
@@ -95,11 +95,11 @@
 
     /// Cuts the oldest page off a full tail. The snapshot at the head's version and the page must
     /// be in the store before a head that builds on the result.
-    pub(crate) fn cut(&self, limits: Limits) -> Option<(Self, AuditPage)> {
-        if self.tail.len() < limits.tail {
+    pub(crate) fn cut(&self, limits: TailLimits) -> Option<(Self, AuditPage)> {
+        if self.tail.len() < limits.max_records {
             return None;
         }
-        let (page, rest) = self.tail.split_at(limits.page);
+        let (page, rest) = self.tail.split_at(limits.page_records);
         let cut = Self { version: self.version, snapshot: self.version, tail: rest.to_vec() };
         Some((cut, AuditPage { records: page.to_vec() }))
     }
@@ -123,7 +123,7 @@
 }
 
 /// The last version of the page that holds the record of `version`.
-pub fn page_of(version: Version, limits: Limits) -> Version {
-    let page = limits.page as u64;
+pub fn page_containing(version: Version, limits: TailLimits) -> Version {
+    let page = limits.page_records as u64;
     Version(version.0.div_ceil(page) * page)
 }
--- a/crates/galenapath-config/src/lib.rs
+++ b/crates/galenapath-config/src/lib.rs
@@ -29,15 +29,15 @@
 pub use acceptance::{Acceptance, Action, Event, HeadIndex, Outcome};
 pub use chain::{Chain, FollowError};
 pub use change::{Change, ChangeRecord, ChangeRequest};
-pub use check::Invalid;
+pub use check::InvalidField;
 pub use class::{Class, ClassKind};
 pub use codec::{
     decode_head, decode_page, decode_snapshot, encode_head, encode_page, encode_snapshot,
 };
-pub use config::{Broken, Config, Mark};
-pub use convert::{DecodeError, mark_wire, mark_wires};
-pub use head::{AuditPage, HEAD_KEY, Head, Limits, page_key, page_of, snapshot_key};
+pub use config::{ChainError, Config, LastChange};
+pub use convert::{DecodeError, last_change_wire, last_change_wires};
+pub use head::{AuditPage, HEAD_KEY, Head, TailLimits, page_containing, page_key, snapshot_key};
 pub use ident::{ChangeId, Version};
-pub use propose::{Cut, MAX_SNAPSHOT_BYTES, Proposal, Refusal, propose};
-pub use replica::{Applied, Replica};
+pub use propose::{ChangeRejection, Compaction, MAX_SNAPSHOT_BYTES, Proposal, propose};
+pub use replica::{ApplyOutcome, Replica};
 pub use target::{Share, Target};
--- a/crates/galenapath-config/src/propose.rs
+++ b/crates/galenapath-config/src/propose.rs
@@ -2,8 +2,8 @@
 
 use crate::check::check_request;
 use crate::{
-    AuditPage, Chain, Change, ChangeRecord, ChangeRequest, Class, Config, Head, Invalid, Limits,
-    Mark, Version,
+    AuditPage, Chain, Change, ChangeRecord, ChangeRequest, Class, Config, Head, InvalidField,
+    LastChange, TailLimits, Version,
 };
 use std::sync::Arc;
 use thiserror::Error;
@@ -18,12 +18,12 @@
     /// The new head.
     pub head: Head,
     /// What must be in the store before the new head.
-    pub cut: Option<Cut>,
+    pub compaction: Option<Compaction>,
 }
 
 /// A full tail's oldest page and the snapshot that takes its place.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Cut {
+pub struct Compaction {
     /// The page.
     pub page: AuditPage,
     /// The configuration before the change.
@@ -32,7 +32,7 @@
 
 /// Why a change is not proposed.
 #[derive(Clone, Debug, Error, PartialEq, Eq, Hash)]
-pub enum Refusal {
+pub enum ChangeRejection {
     /// The same change was accepted before; a success for whoever sends it again.
     #[error("already accepted as version {version}")]
     AlreadyAccepted {
@@ -45,7 +45,7 @@
         /// The class.
         class: String,
         /// The newer change.
-        newer: Mark,
+        newer: LastChange,
     },
     /// The class has changed, and the change may be one of those that are no longer in the tail.
     #[error("class `{class}` has changed so long ago that only the audit trail tells by whom")]
@@ -82,7 +82,7 @@
     TooLarge,
     /// A field cannot be accepted.
     #[error(transparent)]
-    Invalid(#[from] Invalid),
+    Invalid(#[from] InvalidField),
 }
 
 /// Builds the head that accepts `req` on top of `chain`, or says why not.
@@ -92,8 +92,8 @@
     chain: &Chain,
     req: &ChangeRequest,
     at_unix_ms: u64,
-    limits: Limits,
-) -> Result<Proposal, Refusal> {
+    limits: TailLimits,
+) -> Result<Proposal, ChangeRejection> {
     check_request(req)?;
     check_id(chain, req)?;
     check_base(chain, req)?;
@@ -106,64 +106,70 @@
     let record = ChangeRecord { version, id, author, at_unix_ms, from, to };
     Ok(match chain.head().cut(limits) {
         Some((head, page)) => {
-            let cut = Cut { page, snapshot: config.clone() };
-            Proposal { head: head.with(record), cut: Some(cut) }
+            let cut = Compaction { page, snapshot: config.clone() };
+            Proposal { head: head.with(record), compaction: Some(cut) }
         }
-        None => Proposal { head: chain.head().with(record), cut: None },
+        None => Proposal { head: chain.head().with(record), compaction: None },
     })
 }
 
-fn check_id(chain: &Chain, req: &ChangeRequest) -> Result<(), Refusal> {
+fn check_id(chain: &Chain, req: &ChangeRequest) -> Result<(), ChangeRejection> {
     if let Some(record) = chain.head().find(&req.id) {
         let version = record.version;
-        return Err(match record.is_from(req) {
-            true => Refusal::AlreadyAccepted { version },
-            false => Refusal::IdReused { version },
+        return Err(match record.is_result_of(req) {
+            true => ChangeRejection::AlreadyAccepted { version },
+            false => ChangeRejection::IdReused { version },
         });
     }
-    let mark = chain.config().marks().get(req.change.class_name());
+    let mark = chain.config().last_changes().get(req.change.class_name());
     match mark {
-        Some(mark) if mark.id == req.id => Err(Refusal::AlreadyAccepted { version: mark.revision }),
+        Some(mark) if mark.id == req.id => {
+            Err(ChangeRejection::AlreadyAccepted { version: mark.revision })
+        }
         _ => Ok(()),
     }
 }
 
-fn check_base(chain: &Chain, req: &ChangeRequest) -> Result<(), Refusal> {
+fn check_base(chain: &Chain, req: &ChangeRequest) -> Result<(), ChangeRejection> {
     let class = req.change.class_name().to_owned();
-    let mark = chain.config().marks().get(&class);
+    let mark = chain.config().last_changes().get(&class);
     if mark.map_or(Version(0), |mark| mark.revision) == req.base {
         return Ok(());
     }
     match mark {
         Some(newer) if req.base >= chain.head().before_tail() => {
-            Err(Refusal::Conflict { class, newer: newer.clone() })
+            Err(ChangeRejection::Conflict { class, newer: newer.clone() })
         }
-        Some(_) => Err(Refusal::BaseTooOld { class }),
-        None => Err(Refusal::NoSuchClass { class }),
+        Some(_) => Err(ChangeRejection::BaseTooOld { class }),
+        None => Err(ChangeRejection::NoSuchClass { class }),
     }
 }
 
-fn result(config: &Config, change: &Change, revision: Version) -> Result<Option<Class>, Refusal> {
+fn result(
+    config: &Config,
+    change: &Change,
+    revision: Version,
+) -> Result<Option<Class>, ChangeRejection> {
     let class = change.class_name().to_owned();
     match (change, config.class(&class)) {
         (Change::CreateClass(new), None) => create(config, new, revision).map(Some),
-        (Change::CreateClass(_), Some(_)) => Err(Refusal::ClassExists { class }),
+        (Change::CreateClass(_), Some(_)) => Err(ChangeRejection::ClassExists { class }),
         (Change::SetTarget { target, .. }, Some(old)) => {
             Ok(Some(Class { target: *target, revision, ..old.clone() }))
         }
         (Change::RemoveClass { .. }, Some(_)) => Ok(None),
         (Change::SetTarget { .. } | Change::RemoveClass { .. }, None) => {
-            Err(Refusal::NoSuchClass { class })
+            Err(ChangeRejection::NoSuchClass { class })
         }
     }
 }
 
-fn create(config: &Config, new: &Class, revision: Version) -> Result<Class, Refusal> {
+fn create(config: &Config, new: &Class, revision: Version) -> Result<Class, ChangeRejection> {
     if let Some(other) = config.classes().find(|other| other.overlaps(new)) {
-        return Err(Refusal::Overlap { other: other.name.clone() });
+        return Err(ChangeRejection::Overlap { other: other.name.clone() });
     }
     if config.snapshot_bytes_with(new) > MAX_SNAPSHOT_BYTES {
-        return Err(Refusal::TooLarge);
+        return Err(ChangeRejection::TooLarge);
     }
     Ok(Class { revision, ..new.clone() })
 }
--- a/crates/galenapath-config/src/replica.rs
+++ b/crates/galenapath-config/src/replica.rs
@@ -1,6 +1,6 @@
 //! What one instance knows of the configuration.
 
-use crate::{Chain, ChangeRecord, Config, FollowError, Head, Limits, Version};
+use crate::{Chain, ChangeRecord, Config, FollowError, Head, TailLimits, Version};
 use std::sync::Arc;
 
 /// An instance's copy of the configuration. Its version never goes down.
@@ -11,7 +11,7 @@
 
 /// What an offered head did to a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// The replica is at the head now.
     Advanced {
         /// Version before.
@@ -46,44 +46,48 @@
     }
 
     /// Takes over a head, whoever offers it, unless it is older.
-    pub fn apply(&mut self, head: Head) -> Applied {
+    pub fn apply(&mut self, head: Head) -> ApplyOutcome {
         let config = self.config().clone();
         self.apply_from(&config, head)
     }
 
     /// Takes over a head that starts from a snapshot or from a peer's configuration.
-    pub fn apply_from(&mut self, config: &Arc<Config>, head: Head) -> Applied {
+    pub fn apply_from(&mut self, config: &Arc<Config>, head: Head) -> ApplyOutcome {
         if head.version() <= self.version() {
-            return if self.contradicts(&head) { Applied::Diverged } else { Applied::Stale };
+            return if self.contradicts(&head) {
+                ApplyOutcome::Diverged
+            } else {
+                ApplyOutcome::Stale
+            };
         }
         match Chain::follow(config, head) {
             Ok(chain) => self.install(chain),
-            Err(FollowError::Gap { snapshot }) => Applied::Gap { snapshot },
-            Err(FollowError::Older(_)) => Applied::Stale,
-            Err(FollowError::Broken(_)) => Applied::Diverged,
+            Err(FollowError::Gap { snapshot }) => ApplyOutcome::Gap { snapshot },
+            Err(FollowError::Older(_)) => ApplyOutcome::Stale,
+            Err(FollowError::Chain(_)) => ApplyOutcome::Diverged,
         }
     }
 
     /// Takes over records that follow each other; those that it knows are passed over.
-    pub fn extend(&mut self, records: &[ChangeRecord], limits: Limits) -> Applied {
+    pub fn extend(&mut self, records: &[ChangeRecord], limits: TailLimits) -> ApplyOutcome {
         let known = records.partition_point(|record| record.version <= self.version());
         let newer = &records[known..];
         if newer.is_empty() {
-            return Applied::Stale;
+            return ApplyOutcome::Stale;
         }
-        match self.chain.extended(newer, limits) {
+        match self.chain.with_records(newer, limits) {
             Ok(chain) => self.install(chain),
-            Err(_) => Applied::Diverged,
+            Err(_) => ApplyOutcome::Diverged,
         }
     }
 
-    fn install(&mut self, chain: Chain) -> Applied {
+    fn install(&mut self, chain: Chain) -> ApplyOutcome {
         if self.contradicts(chain.head()) {
-            return Applied::Diverged;
+            return ApplyOutcome::Diverged;
         }
         let from = self.version();
         self.chain = chain;
-        Applied::Advanced { from }
+        ApplyOutcome::Advanced { from }
     }
 
     /// Whether the two tails hold different records for one version.
--- a/crates/galenapath-config/tests/acceptance.rs
+++ b/crates/galenapath-config/tests/acceptance.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use galenapath_config::{
-    Acceptance, Action, Chain, Event, Head, HeadIndex, Limits, Outcome, Replica, Version,
+    Acceptance, Action, Chain, Event, Head, HeadIndex, Outcome, Replica, TailLimits, Version,
 };
 use galenapath_protocol::Verdict;
 use support::{long_chain, set_target};
@@ -18,7 +18,7 @@
 
 /// An acceptance of a change on `chains`' newest, and the event of reading `head`.
 fn begin(known: &Chain, base: u64) -> Acceptance {
-    Acceptance::new(set_target("x", base, "lookup", 5), knowing(known), 7, Limits::DEFAULT)
+    Acceptance::new(set_target("x", base, "lookup", 5), knowing(known), 7, TailLimits::DEFAULT)
 }
 
 fn read(index: u64, head: &Head) -> Event {
@@ -34,7 +34,7 @@
 
 #[test]
 fn step_older_store_is_not_built_upon() {
-    let chains = long_chain(3, Limits::DEFAULT);
+    let chains = long_chain(3, TailLimits::DEFAULT);
     let mut acceptance = begin(&chains[3], 2);
     let action = acceptance.step(read(9, chains[1].head()));
     assert_eq!(action, Action::Answer(Outcome::StoreBehind));
@@ -42,7 +42,7 @@
 
 #[test]
 fn step_emptied_store_is_not_built_upon() {
-    let chains = long_chain(3, Limits::DEFAULT);
+    let chains = long_chain(3, TailLimits::DEFAULT);
     let mut acceptance = begin(&chains[3], 4);
     let action = acceptance.step(read(0, &Head::default()));
     assert_eq!(action, Action::Answer(Outcome::StoreBehind));
@@ -50,7 +50,7 @@
 
 #[test]
 fn step_swapped_is_accepted() {
-    let chains = long_chain(3, Limits::DEFAULT);
+    let chains = long_chain(3, TailLimits::DEFAULT);
     let mut acceptance = begin(&chains[3], 4);
     let action = acceptance.step(read(9, chains[3].head()));
     assert!(matches!(action, Action::Swap { expected: HeadIndex(9), .. }));
@@ -63,22 +63,22 @@
 
 #[test]
 fn step_given_up_before_swap_not_run() {
-    let chains = long_chain(3, Limits::DEFAULT);
+    let chains = long_chain(3, TailLimits::DEFAULT);
     let mut acceptance = begin(&chains[3], 4);
-    assert_eq!(verdict(acceptance.step(Event::GiveUp)), Verdict::NotRun);
+    assert_eq!(verdict(acceptance.step(Event::TimedOut)), Verdict::NotRun);
 }
 
 #[test]
 fn step_given_up_in_swap_may_have_run() {
-    let chains = long_chain(3, Limits::DEFAULT);
+    let chains = long_chain(3, TailLimits::DEFAULT);
     let mut acceptance = begin(&chains[3], 4);
     acceptance.step(read(9, chains[3].head()));
-    assert_eq!(verdict(acceptance.step(Event::GiveUp)), Verdict::MayHaveRun);
+    assert_eq!(verdict(acceptance.step(Event::TimedOut)), Verdict::MayHaveRun);
 }
 
 #[test]
 fn step_lost_reply_then_store_away_may_have_run() {
-    let chains = long_chain(3, Limits::DEFAULT);
+    let chains = long_chain(3, TailLimits::DEFAULT);
     let mut acceptance = begin(&chains[3], 4);
     acceptance.step(read(9, chains[3].head()));
     assert_eq!(acceptance.step(Event::Failed(Verdict::MayHaveRun)), Action::ReadHead);
@@ -89,13 +89,13 @@
 /// whether the swap took effect cannot be read.
 #[test]
 fn step_lost_reply_then_snapshot_away_may_have_run() {
-    let limits = Limits { tail: 1, page: 1 };
+    let limits = TailLimits { max_records: 1, page_records: 1 };
     let chains = long_chain(5, limits);
     let req = set_target("x", 2, "lookup", 5);
     let mut acceptance = Acceptance::new(req, knowing(&chains[1]), 7, limits);
     let action = acceptance.step(read(9, chains[1].head()));
-    assert!(matches!(action, Action::WriteCut { .. }));
-    acceptance.step(Event::CutWritten);
+    assert!(matches!(action, Action::WriteCompaction { .. }));
+    acceptance.step(Event::CompactionWritten);
     assert_eq!(acceptance.step(Event::Failed(Verdict::MayHaveRun)), Action::ReadHead);
     let action = acceptance.step(read(12, chains[5].head()));
     assert!(matches!(action, Action::ReadSnapshot(_)));
@@ -104,12 +104,12 @@
 
 #[test]
 fn step_races_without_end_given_up() {
-    let chains = long_chain(3, Limits::DEFAULT);
+    let chains = long_chain(3, TailLimits::DEFAULT);
     let mut acceptance = begin(&chains[3], 4);
     for swaps in 1..=8 {
         let action = acceptance.step(read(9 + swaps, chains[3].head()));
         assert!(matches!(action, Action::Swap { .. }), "{swaps}");
-        let action = acceptance.step(Event::Raced);
+        let action = acceptance.step(Event::SwapConflict);
         match swaps {
             8 => assert_eq!(verdict(action), Verdict::NotRun),
             _ => assert_eq!(action, Action::ReadHead),
--- a/crates/galenapath-config/tests/config.rs
+++ b/crates/galenapath-config/tests/config.rs
@@ -4,14 +4,14 @@
 
 mod support;
 
-use galenapath_config::{Chain, Change, Class, Config, Limits, Refusal, propose};
+use galenapath_config::{Chain, Change, ChangeRejection, Class, Config, TailLimits, propose};
 use support::{accept, class, create, request};
 
 fn config_of(classes: &[Class]) -> std::sync::Arc<Config> {
     let mut chain = Chain::default();
     for class in classes {
         let req = request(&class.name, 0, Change::CreateClass(class.clone()));
-        chain = accept(&chain, &req, Limits::DEFAULT);
+        chain = accept(&chain, &req, TailLimits::DEFAULT);
     }
     chain.config().clone()
 }
@@ -45,11 +45,11 @@
 
 #[test]
 fn create_overlap_refused() {
-    let chain = accept(&Chain::default(), &create("1", "maps"), Limits::DEFAULT);
+    let chain = accept(&Chain::default(), &create("1", "maps"), TailLimits::DEFAULT);
     let twin = Class { methods: vec![], ..class("twin", "/maps/") };
     let req = request("2", 0, Change::CreateClass(twin));
-    let refusal = propose(&chain, &req, 0, Limits::DEFAULT).unwrap_err();
-    assert_eq!(refusal, Refusal::Overlap { other: "maps".into() });
+    let refusal = propose(&chain, &req, 0, TailLimits::DEFAULT).unwrap_err();
+    assert_eq!(refusal, ChangeRejection::Overlap { other: "maps".into() });
 }
 
 /// Prints the time of one classification: `--release -- --ignored --nocapture`.
--- a/crates/galenapath-config/tests/model.rs
+++ b/crates/galenapath-config/tests/model.rs
@@ -13,7 +13,7 @@
 #[path = "model/world.rs"]
 mod world;
 
-use galenapath_config::{Chain, ChangeRequest, Limits};
+use galenapath_config::{Chain, ChangeRequest, TailLimits};
 use pathfinding::directed::bfs::bfs;
 use std::cell::Cell;
 use std::hash::{Hash, Hasher};
@@ -47,13 +47,13 @@
 #[derive(Clone, Copy)]
 struct Bounds {
     instances: usize,
-    limits: Limits,
+    limits: TailLimits,
     tries: u8,
     faults: Faults,
 }
 
-const TIGHT: Limits = Limits { tail: 1, page: 1 };
-const ROOMY: Limits = Limits { tail: 8, page: 4 };
+const TIGHT: TailLimits = TailLimits { max_records: 1, page_records: 1 };
+const ROOMY: TailLimits = TailLimits { max_records: 8, page_records: 4 };
 
 const OUTAGE: Faults = Faults { lost: 1, crashes: 0, outages: 1 };
 const CRASH: Faults = Faults { lost: 1, crashes: 1, outages: 0 };
--- a/crates/galenapath-config/tests/model/rules.rs
+++ b/crates/galenapath-config/tests/model/rules.rs
@@ -13,7 +13,7 @@
         let Some(audit) = self.store.audit() else {
             return Some("the audit trail has a hole");
         };
-        let replayed = Config::default().after(&audit);
+        let replayed = Config::default().with_records(&audit);
         if replayed.as_ref() != Ok(newest.config()) {
             return Some("the audit trail does not give the configuration");
         }
--- a/crates/galenapath-config/tests/model/store.rs
+++ b/crates/galenapath-config/tests/model/store.rs
@@ -1,7 +1,7 @@
 //! The platform's store as the model sees it.
 
 use galenapath_config::{
-    AuditPage, Chain, ChangeRecord, Config, Head, HeadIndex, Limits, Version, page_of,
+    AuditPage, Chain, ChangeRecord, Config, Head, HeadIndex, TailLimits, Version, page_containing,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 
 impl Store {
     /// A store that holds `chains`, accepted one after the other.
-    pub fn with(chains: &[Chain], limits: Limits) -> Self {
+    pub fn with(chains: &[Chain], limits: TailLimits) -> Self {
         let mut store = Self {
             index: HeadIndex(0),
             head: Head::default(),
@@ -31,7 +31,7 @@
                 let records = store.head.tail()[..cut].to_vec();
                 let snapshot = chains[store.head.version().0 as usize - 1].config().clone();
                 store.snapshots.insert(store.head.version(), snapshot);
-                store.pages.insert(page_of(after, limits), AuditPage { records });
+                store.pages.insert(page_containing(after, limits), AuditPage { records });
             }
             store.head = chain.head().clone();
             store.index.0 += 1;
--- a/crates/galenapath-config/tests/model/world.rs
+++ b/crates/galenapath-config/tests/model/world.rs
@@ -2,8 +2,8 @@
 
 use super::store::Store;
 use galenapath_config::{
-    Acceptance, Action, Chain, ChangeRequest, Config, Event, Head, HeadIndex, Limits, Outcome,
-    Refusal, Replica, Version,
+    Acceptance, Action, Chain, ChangeRejection, ChangeRequest, Config, Event, Head, HeadIndex,
+    Outcome, Replica, TailLimits, Version,
 };
 use galenapath_protocol::Verdict;
 use std::hash::{Hash, Hasher};
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     pub mutation: Mutation,
-    pub limits: Limits,
+    pub limits: TailLimits,
     pub faults: Faults,
     pub down: bool,
     pub store: Store,
@@ -176,12 +176,12 @@
                     None => world.violation = Some("a snapshot is missing"),
                 })
             }
-            Action::WriteCut { snapshot, page } => add(label.into(), &|world| {
+            Action::WriteCompaction { snapshot, page } => add(label.into(), &|world| {
                 if world.mutation != Mutation::CutNotFirst {
                     world.store.snapshots.insert(snapshot.version(), snapshot.clone());
                     world.store.pages.insert(page.last_version(), page.clone());
                 }
-                world.feed(at, Event::CutWritten);
+                world.feed(at, Event::CompactionWritten);
             }),
             Action::Swap { expected, head } => {
                 let expected = match self.mutation {
@@ -197,7 +197,7 @@
     fn swap_events(&self, at: usize, expected: HeadIndex, head: &Head, label: &str, add: &mut Add) {
         add(label.into(), &|world| {
             let done = world.swap(expected, head);
-            world.feed(at, if done { Event::Swapped } else { Event::Raced });
+            world.feed(at, if done { Event::Swapped } else { Event::SwapConflict });
         });
         if self.faults.lost == 0 {
             return;
@@ -245,7 +245,8 @@
             Mutation::GapIgnored => {
                 let known = replica.config();
                 let start = chain.head().before_tail().max(known.version());
-                let forged = Config::new(start, known.classes().cloned(), known.marks().clone());
+                let forged =
+                    Config::new(start, known.classes().cloned(), known.last_changes().clone());
                 replica.apply_from(&Arc::new(forged.unwrap()), chain.head().clone());
             }
             _ => {
@@ -318,12 +319,12 @@
                 self.instances[at].replica.apply_from(chain.config(), chain.head().clone());
                 Told::Accepted(version)
             }
-            Outcome::Refused(Refusal::BaseTooOld { .. })
+            Outcome::Rejected(ChangeRejection::BaseTooOld { .. })
                 if self.mutation != Mutation::OldBaseIsConflict =>
             {
                 Told::Unknown
             }
-            Outcome::Refused(_) => Told::NotAccepted,
+            Outcome::Rejected(_) => Told::NotAccepted,
             Outcome::Unavailable(Verdict::NotRun) if before == Told::Nothing => Told::NotAccepted,
             Outcome::Unavailable(_) => Told::Unknown,
             Outcome::StoreBehind => {
@@ -360,7 +361,7 @@
     match action {
         Action::ReadHead => "reads the head".into(),
         Action::ReadSnapshot(version) => format!("reads snapshot {version}"),
-        Action::WriteCut { page, .. } => format!("writes page {}", page.last_version()),
+        Action::WriteCompaction { page, .. } => format!("writes page {}", page.last_version()),
         Action::Swap { head, .. } => format!("swaps in version {}", head.version()),
         Action::Answer(_) => "answers".into(),
     }
--- a/crates/galenapath-config/tests/propose.rs
+++ b/crates/galenapath-config/tests/propose.rs
@@ -5,38 +5,38 @@
 mod support;
 
 use galenapath_config::{
-    Chain, Change, ChangeId, Class, Limits, Mark, Refusal, Version, encode_head, encode_snapshot,
-    propose,
+    Chain, Change, ChangeId, ChangeRejection, Class, LastChange, TailLimits, Version, encode_head,
+    encode_snapshot, propose,
 };
 use support::{accept, class, create, long_chain, remove, request, set_target};
 
-const SMALL: Limits = Limits { tail: 4, page: 2 };
+const SMALL: TailLimits = TailLimits { max_records: 4, page_records: 2 };
 
-fn refusal(chain: &Chain, req: &galenapath_config::ChangeRequest) -> Refusal {
-    propose(chain, req, 0, Limits::DEFAULT).unwrap_err()
+fn refusal(chain: &Chain, req: &galenapath_config::ChangeRequest) -> ChangeRejection {
+    propose(chain, req, 0, TailLimits::DEFAULT).unwrap_err()
 }
 
 #[test]
 fn propose_race_names_newer_change() {
-    let chain = accept(&Chain::default(), &create("1", "maps"), Limits::DEFAULT);
-    let first = accept(&chain, &set_target("2", 1, "maps", 20), Limits::DEFAULT);
-    let newer = Mark { revision: Version(2), id: ChangeId("2".into()) };
-    let conflict = Refusal::Conflict { class: "maps".into(), newer };
+    let chain = accept(&Chain::default(), &create("1", "maps"), TailLimits::DEFAULT);
+    let first = accept(&chain, &set_target("2", 1, "maps", 20), TailLimits::DEFAULT);
+    let newer = LastChange { revision: Version(2), id: ChangeId("2".into()) };
+    let conflict = ChangeRejection::Conflict { class: "maps".into(), newer };
     assert_eq!(refusal(&first, &set_target("3", 1, "maps", 30)), conflict);
 }
 
 #[test]
 fn propose_same_id_already_accepted() {
     let req = create("1", "maps");
-    let chain = accept(&Chain::default(), &req, Limits::DEFAULT);
-    assert_eq!(refusal(&chain, &req), Refusal::AlreadyAccepted { version: Version(1) });
+    let chain = accept(&Chain::default(), &req, TailLimits::DEFAULT);
+    assert_eq!(refusal(&chain, &req), ChangeRejection::AlreadyAccepted { version: Version(1) });
 }
 
 #[test]
 fn propose_same_id_other_change_refused() {
-    let chain = accept(&Chain::default(), &create("1", "maps"), Limits::DEFAULT);
+    let chain = accept(&Chain::default(), &create("1", "maps"), TailLimits::DEFAULT);
     let req = set_target("1", 1, "maps", 30);
-    assert_eq!(refusal(&chain, &req), Refusal::IdReused { version: Version(1) });
+    assert_eq!(refusal(&chain, &req), ChangeRejection::IdReused { version: Version(1) });
 }
 
 #[test]
@@ -48,7 +48,7 @@
     }
     assert!(chain.head().find(&ChangeId("1".into())).is_none());
     let resend = refusal(&chain, &create("1", "maps"));
-    assert_eq!(resend, Refusal::BaseTooOld { class: "maps".into() });
+    assert_eq!(resend, ChangeRejection::BaseTooOld { class: "maps".into() });
     let anew = request("9", 2, Change::CreateClass(class("maps", "/maps")));
     assert!(propose(&chain, &anew, 0, SMALL).is_ok());
 }
@@ -58,7 +58,7 @@
     let chains = long_chain(9, SMALL);
     let cuts: Vec<u64> = chains.iter().map(|chain| chain.head().snapshot().0).collect();
     assert_eq!(cuts, [0, 0, 0, 0, 4, 4, 6, 6, 8, 8]);
-    assert!(chains.iter().all(|chain| chain.head().tail().len() <= SMALL.tail));
+    assert!(chains.iter().all(|chain| chain.head().tail().len() <= SMALL.max_records));
 }
 
 #[test]
@@ -72,10 +72,10 @@
     ];
     for class in bad {
         let req = request("1", 0, Change::CreateClass(class));
-        assert!(matches!(refusal(&chain, &req), Refusal::Invalid(_)), "{req:?}");
+        assert!(matches!(refusal(&chain, &req), ChangeRejection::Invalid(_)), "{req:?}");
     }
     let unknown = refusal(&chain, &set_target("1", 0, "maps", 30));
-    assert_eq!(unknown, Refusal::NoSuchClass { class: "maps".into() });
+    assert_eq!(unknown, ChangeRejection::NoSuchClass { class: "maps".into() });
 }
 
 /// Creates classes until one is refused; the number and the size of the last snapshot.
@@ -83,9 +83,9 @@
     let mut chain = Chain::default();
     for n in 0.. {
         let req = request(&format!("{n:064}"), 0, Change::CreateClass(named(n)));
-        match propose(&chain, &req, 0, Limits::DEFAULT) {
+        match propose(&chain, &req, 0, TailLimits::DEFAULT) {
             Ok(proposal) => chain = Chain::follow(chain.config(), proposal.head).unwrap(),
-            Err(Refusal::TooLarge) => break,
+            Err(ChangeRejection::TooLarge) => break,
             Err(refusal) => panic!("{refusal}"),
         }
     }
@@ -122,11 +122,11 @@
     };
     let mut req = request(&"i".repeat(64), 0, Change::CreateClass(large));
     req.author = "\u{1F600}".repeat(64);
-    let mut chain = accept(&Chain::default(), &req, Limits::DEFAULT);
+    let mut chain = accept(&Chain::default(), &req, TailLimits::DEFAULT);
     for n in 1..64 {
         let mut req = set_target(&format!("{n:064}"), n, &longest, u32::MAX);
         req.author = "\u{1F600}".repeat(64);
-        chain = accept(&chain, &req, Limits::DEFAULT);
+        chain = accept(&chain, &req, TailLimits::DEFAULT);
     }
     let bytes = encode_head(chain.head()).unwrap().len();
     println!("largest head: {bytes} bytes");
--- a/crates/galenapath-config/tests/replica.rs
+++ b/crates/galenapath-config/tests/replica.rs
@@ -5,21 +5,21 @@
 mod support;
 
 use galenapath_config::{
-    Applied, AuditPage, Chain, Limits, Replica, Version, decode_head, decode_snapshot, encode_head,
-    encode_page, encode_snapshot,
+    ApplyOutcome, AuditPage, Chain, Replica, TailLimits, Version, decode_head, decode_snapshot,
+    encode_head, encode_page, encode_snapshot,
 };
 use proptest::prelude::*;
 use support::{accept, create, long_chain, set_target};
 
-const SMALL: Limits = Limits { tail: 4, page: 2 };
+const SMALL: TailLimits = TailLimits { max_records: 4, page_records: 2 };
 
 #[test]
 fn apply_older_is_stale() {
-    let chains = long_chain(3, Limits::DEFAULT);
+    let chains = long_chain(3, TailLimits::DEFAULT);
     let mut replica = Replica::default();
     let newest = chains[3].head().clone();
-    assert_eq!(replica.apply(newest), Applied::Advanced { from: Version(0) });
-    assert_eq!(replica.apply(chains[1].head().clone()), Applied::Stale);
+    assert_eq!(replica.apply(newest), ApplyOutcome::Advanced { from: Version(0) });
+    assert_eq!(replica.apply(chains[1].head().clone()), ApplyOutcome::Stale);
     assert_eq!(replica.config(), chains[3].config());
 }
 
@@ -28,23 +28,23 @@
     let chains = long_chain(9, SMALL);
     let mut replica = Replica::default();
     let head = chains[9].head().clone();
-    assert_eq!(replica.apply(head.clone()), Applied::Gap { snapshot: Version(8) });
+    assert_eq!(replica.apply(head.clone()), ApplyOutcome::Gap { snapshot: Version(8) });
     assert_eq!(replica.version(), Version(0));
     let snapshot = chains[7].config();
     assert_eq!(snapshot.version(), Version(8));
-    assert_eq!(replica.apply_from(snapshot, head), Applied::Advanced { from: Version(0) });
+    assert_eq!(replica.apply_from(snapshot, head), ApplyOutcome::Advanced { from: Version(0) });
     assert_eq!(replica.config(), chains[9].config());
 }
 
 #[test]
 fn apply_other_chain_diverges() {
-    let one = accept(&Chain::default(), &create("1", "maps"), Limits::DEFAULT);
-    let two = accept(&Chain::default(), &create("2", "maps"), Limits::DEFAULT);
-    let longer = accept(&two, &set_target("3", 1, "maps", 9), Limits::DEFAULT);
+    let one = accept(&Chain::default(), &create("1", "maps"), TailLimits::DEFAULT);
+    let two = accept(&Chain::default(), &create("2", "maps"), TailLimits::DEFAULT);
+    let longer = accept(&two, &set_target("3", 1, "maps", 9), TailLimits::DEFAULT);
     let mut replica = Replica::default();
     replica.apply(one.head().clone());
-    assert_eq!(replica.apply(two.head().clone()), Applied::Diverged);
-    assert_eq!(replica.apply(longer.head().clone()), Applied::Diverged);
+    assert_eq!(replica.apply(two.head().clone()), ApplyOutcome::Diverged);
+    assert_eq!(replica.apply(longer.head().clone()), ApplyOutcome::Diverged);
     assert_eq!(replica.config(), one.config());
 }
 
@@ -53,10 +53,13 @@
 fn extend_costs_the_changes_size() {
     let mut chain = Chain::default();
     for n in 0..1_400 {
-        chain =
-            accept(&chain, &create(&format!("{n:016}"), &format!("service-{n}")), Limits::DEFAULT);
+        chain = accept(
+            &chain,
+            &create(&format!("{n:016}"), &format!("service-{n}")),
+            TailLimits::DEFAULT,
+        );
     }
-    let chain = accept(&chain, &set_target("x", 7, "service-6", 9), Limits::DEFAULT);
+    let chain = accept(&chain, &set_target("x", 7, "service-6", 9), TailLimits::DEFAULT);
     let head = encode_head(chain.head()).unwrap().len();
     let snapshot = encode_snapshot(chain.config()).unwrap().len();
     let last = chain.head().tail().last().unwrap().clone();
@@ -101,12 +104,12 @@
         let first = (from + 1).saturating_sub(back as usize);
         let offered = records.get(first..=to).unwrap_or_default();
         let applied = replica.extend(offered, SMALL);
-        prop_assert_eq!(applied == Applied::Stale, to <= from);
+        prop_assert_eq!(applied == ApplyOutcome::Stale, to <= from);
         prop_assert_eq!(replica.chain(), &chains[from.max(to)]);
         if to > from + 1 {
             let mut behind = Replica::default();
             behind.apply_from(chains[from].config(), chains[from].head().clone());
-            prop_assert_eq!(behind.extend(&records[from + 2..=to], SMALL), Applied::Diverged);
+            prop_assert_eq!(behind.extend(&records[from + 2..=to], SMALL), ApplyOutcome::Diverged);
             prop_assert_eq!(behind.chain(), &chains[from]);
         }
     }
--- a/crates/galenapath-config/tests/support/mod.rs
+++ b/crates/galenapath-config/tests/support/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, reason = "each test binary uses some")]
 
 use galenapath_config::{
-    Chain, Change, ChangeId, ChangeRequest, Class, ClassKind, Limits, Share, Target, Version,
+    Chain, Change, ChangeId, ChangeRequest, Class, ClassKind, Share, TailLimits, Target, Version,
     propose,
 };
 
@@ -40,13 +40,13 @@
 }
 
 /// The chain after `req`, which must be acceptable.
-pub fn accept(chain: &Chain, req: &ChangeRequest, limits: Limits) -> Chain {
+pub fn accept(chain: &Chain, req: &ChangeRequest, limits: TailLimits) -> Chain {
     let proposal = propose(chain, req, 7, limits).unwrap();
     Chain::follow(chain.config(), proposal.head).unwrap()
 }
 
 /// A chain of `changes` target changes after the creation of class `lookup`.
-pub fn long_chain(changes: u64, limits: Limits) -> Vec<Chain> {
+pub fn long_chain(changes: u64, limits: TailLimits) -> Vec<Chain> {
     let mut chains = vec![accept(&Chain::default(), &create("create", "lookup"), limits)];
     for n in 1..=changes {
         let last = chains.last().unwrap();
--- a/crates/galenapath-dev/examples/slopes/in_process.rs
+++ b/crates/galenapath-dev/examples/slopes/in_process.rs
@@ -2,7 +2,7 @@
 
 use crate::table::Row;
 use galenapath_config::{
-    ChangeId, Class, ClassKind, Config, Mark, Share, Target, Version, decode_snapshot,
+    ChangeId, Class, ClassKind, Config, LastChange, Share, Target, Version, decode_snapshot,
     encode_snapshot,
 };
 use galenapath_membership::{Member, MemberStatus, Members, MembershipConfig};
@@ -22,11 +22,11 @@
 
 fn measure_classes(size: usize) -> Result<Row, Box<dyn Error>> {
     let version = Version(size as u64);
-    let mark = |n: usize| Mark {
+    let mark = |n: usize| LastChange {
         revision: version,
         id: ChangeId(format!("01980000-0000-7000-8000-{n:012}")),
     };
-    let marks: BTreeMap<String, Mark> = (0..size).map(|n| (name(n), mark(n))).collect();
+    let marks: BTreeMap<String, LastChange> = (0..size).map(|n| (name(n), mark(n))).collect();
     let config = Config::new(version, (0..size).map(|n| class(n, version)), marks)?;
     let began = Instant::now();
     let snapshot = encode_snapshot(&config)?;
--- a/crates/galenapath-dev/src/scenario/preset.rs
+++ b/crates/galenapath-dev/src/scenario/preset.rs
@@ -7,8 +7,8 @@
 use super::line::Line;
 use crate::wire::exchange;
 use galenapath_config::{
-    Chain, Change, ChangeId, ChangeRequest, Class, ClassKind, Config, HEAD_KEY, Head, Limits,
-    Share, Target, Version, encode_head, propose,
+    Chain, Change, ChangeId, ChangeRequest, Class, ClassKind, Config, HEAD_KEY, Head, Share,
+    TailLimits, Target, Version, encode_head, propose,
 };
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
         let id = ChangeId(format!("preset-{}", class.name));
         let change = Change::CreateClass(class);
         let req = ChangeRequest { id, author: "scenario".to_owned(), base: Version(0), change };
-        let proposal = propose(&chain, &req, 0, Limits::DEFAULT);
+        let proposal = propose(&chain, &req, 0, TailLimits::DEFAULT);
         self.head = proposal.map_err(|e| bad(e.to_string()))?.head;
         let value = encode_head(&self.head).map_err(|e| bad(e.to_string()))?;
         let path = format!("/v1/kv/{HEAD_KEY}");
--- a/crates/galenapath-entry/src/control/accept.rs
+++ b/crates/galenapath-entry/src/control/accept.rs
@@ -5,8 +5,9 @@
 use crate::clock::unix_millis;
 use bytes::Bytes;
 use galenapath_config::{
-    Acceptance, Action, AuditPage, ChangeRequest, Config, Event, HEAD_KEY, Head, HeadIndex, Limits,
-    Outcome, decode_head, encode_head, encode_page, encode_snapshot, page_key, snapshot_key,
+    Acceptance, Action, AuditPage, ChangeRequest, Config, Event, HEAD_KEY, Head, HeadIndex,
+    Outcome, TailLimits, decode_head, encode_head, encode_page, encode_snapshot, page_key,
+    snapshot_key,
 };
 use galenapath_platform::{Expected, Platform, PlatformError, StoreIndex, Swap};
 use galenapath_protocol::Verdict;
@@ -19,7 +20,7 @@
 /// Accepts `req` or says why not. The configuration in force includes an accepted change.
 pub(super) async fn accept(plane: &ControlPlane, req: ChangeRequest) -> Outcome {
     let known = plane.replica.borrow().clone();
-    let mut acceptance = Acceptance::new(req, known, unix_millis(), Limits::DEFAULT);
+    let mut acceptance = Acceptance::new(req, known, unix_millis(), TailLimits::DEFAULT);
     let deadline = Instant::now() + CHANGE_TIMEOUT;
     let mut action = Action::ReadHead;
     loop {
@@ -33,7 +34,7 @@
             return outcome;
         }
         let event = monoio::time::timeout(left, carry_out(plane, action)).await;
-        action = acceptance.step(event.unwrap_or(Event::GiveUp));
+        action = acceptance.step(event.unwrap_or(Event::TimedOut));
     }
 }
 
@@ -44,9 +45,9 @@
             Some(config) => Event::Snapshot(config),
             None => Event::Failed(Verdict::NotRun),
         },
-        Action::WriteCut { snapshot, page } => write_cut(plane, &snapshot, &page).await,
+        Action::WriteCompaction { snapshot, page } => write_cut(plane, &snapshot, &page).await,
         Action::Swap { expected, head } => swap(plane, expected, &head).await,
-        Action::Answer(_) => Event::GiveUp,
+        Action::Answer(_) => Event::TimedOut,
     }
 }
 
@@ -78,7 +79,7 @@
             return Event::Failed(e.verdict);
         }
     }
-    Event::CutWritten
+    Event::CompactionWritten
 }
 
 async fn swap(plane: &ControlPlane, expected: HeadIndex, head: &Head) -> Event {
@@ -89,7 +90,7 @@
     let Ok(value) = encode_head(head) else { return Event::Failed(Verdict::NotRun) };
     match put(plane, HEAD_KEY, expected, value).await {
         Ok(Swap::Done) => Event::Swapped,
-        Ok(Swap::Conflict) => Event::Raced,
+        Ok(Swap::Conflict) => Event::SwapConflict,
         Err(e) => Event::Failed(e.verdict),
     }
 }
--- a/crates/galenapath-entry/src/control/configuration.rs
+++ b/crates/galenapath-entry/src/control/configuration.rs
@@ -2,7 +2,7 @@
 
 use super::plane::ControlPlane;
 use galenapath_config::{
-    Applied, AuditPage, Config, HEAD_KEY, Head, Limits, Version, decode_head, decode_page,
+    ApplyOutcome, AuditPage, Config, HEAD_KEY, Head, TailLimits, Version, decode_head, decode_page,
     decode_snapshot, encode_head, encode_page, encode_snapshot, snapshot_key,
 };
 use galenapath_peers::{ConfigWire, PeerCall};
@@ -88,7 +88,7 @@
 async fn take_head(plane: &ControlPlane, head: Head) {
     let applied = plane.replica.borrow_mut().apply(head.clone());
     match applied {
-        Applied::Gap { snapshot } => {
+        ApplyOutcome::Gap { snapshot } => {
             let Some(config) = read_snapshot(plane, snapshot).await else { return };
             let applied = plane.replica.borrow_mut().apply_from(&config, head);
             settle(plane, &applied);
@@ -111,11 +111,11 @@
 }
 
 /// Publishes what has become of the replica.
-pub(super) fn settle(plane: &ControlPlane, applied: &Applied) {
+pub(super) fn settle(plane: &ControlPlane, applied: &ApplyOutcome) {
     match applied {
-        Applied::Advanced { .. } => plane.publish_config(),
-        Applied::Stale | Applied::Gap { .. } => {}
-        Applied::Diverged => {
+        ApplyOutcome::Advanced { .. } => plane.publish_config(),
+        ApplyOutcome::Stale | ApplyOutcome::Gap { .. } => {}
+        ApplyOutcome::Diverged => {
             log::error!("a configuration was offered that contradicts the one in force");
             plane.shared.metrics.fault("configuration_diverged");
         }
@@ -139,10 +139,10 @@
 }
 
 /// Takes over a peer's document; `None` where it cannot be read.
-fn take_document(plane: &ControlPlane, wire: &ConfigWire) -> Option<Applied> {
+fn take_document(plane: &ControlPlane, wire: &ConfigWire) -> Option<ApplyOutcome> {
     if let Some(records) = &wire.records {
         let page = decode_page(records.as_bytes()).ok()?;
-        return Some(plane.replica.borrow_mut().extend(&page.records, Limits::DEFAULT));
+        return Some(plane.replica.borrow_mut().extend(&page.records, TailLimits::DEFAULT));
     }
     let head = decode_head(wire.head.as_ref()?.as_bytes()).ok()?;
     let config = decode_snapshot(wire.snapshot.as_ref()?.as_bytes()).ok()?;
--- a/crates/galenapath-entry/src/control/operators/changes.rs
+++ b/crates/galenapath-entry/src/control/operators/changes.rs
@@ -4,7 +4,9 @@
 use crate::control::plane::ControlPlane;
 use crate::control::{accept, spread};
 use galenapath_config::wire::{AcceptedWire, ChangeRequestWire, ErrorCodeWire, VerdictWire};
-use galenapath_config::{ChangeRequest, DecodeError, Outcome, Refusal, Version, mark_wire};
+use galenapath_config::{
+    ChangeRejection, ChangeRequest, DecodeError, Outcome, Version, last_change_wire,
+};
 use galenapath_protocol::Verdict;
 use http::StatusCode;
 use http::header::{AUTHORIZATION, HeaderMap};
@@ -32,7 +34,7 @@
     log::info!(change:% = id, author, class, outcome = name(&outcome); "change decided");
     match outcome {
         Outcome::Accepted { version, .. } => accepted(plane, version).await,
-        Outcome::Refused(refusal) => refused(&refusal),
+        Outcome::Rejected(refusal) => refused(&refusal),
         Outcome::Unavailable(verdict) => unavailable(verdict),
         Outcome::StoreBehind => store_behind(),
     }
@@ -58,33 +60,33 @@
     Answer::error(StatusCode::BAD_REQUEST, ErrorCodeWire::Invalid, message)
 }
 
-fn refused(refusal: &Refusal) -> Answer {
+fn refused(refusal: &ChangeRejection) -> Answer {
     let message = refusal.to_string();
     match refusal {
-        Refusal::Conflict { class, newer } => Answer::failure(
+        ChangeRejection::Conflict { class, newer } => Answer::failure(
             StatusCode::CONFLICT,
             ErrorCodeWire::Conflict,
             format!("{message}; look at it with `galenactl class list` and decide again"),
             VerdictWire::NotRun,
-            Some(mark_wire(class, newer)),
+            Some(last_change_wire(class, newer)),
         ),
-        Refusal::BaseTooOld { .. } => Answer::failure(
+        ChangeRejection::BaseTooOld { .. } => Answer::failure(
             StatusCode::CONFLICT,
             ErrorCodeWire::Conflict,
             format!("{message}; see `galenactl audit`"),
             VerdictWire::MayHaveRun,
             None,
         ),
-        Refusal::ClassExists { .. } | Refusal::Overlap { .. } => {
+        ChangeRejection::ClassExists { .. } | ChangeRejection::Overlap { .. } => {
             Answer::error(StatusCode::CONFLICT, ErrorCodeWire::Conflict, message)
         }
-        Refusal::NoSuchClass { .. } => {
+        ChangeRejection::NoSuchClass { .. } => {
             Answer::error(StatusCode::NOT_FOUND, ErrorCodeWire::NotFound, message)
         }
-        Refusal::AlreadyAccepted { .. }
-        | Refusal::IdReused { .. }
-        | Refusal::TooLarge
-        | Refusal::Invalid(_) => invalid(message),
+        ChangeRejection::AlreadyAccepted { .. }
+        | ChangeRejection::IdReused { .. }
+        | ChangeRejection::TooLarge
+        | ChangeRejection::Invalid(_) => invalid(message),
     }
 }
 
@@ -112,7 +114,7 @@
 fn name(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Accepted { .. } => "accepted",
-        Outcome::Refused(_) => "refused",
+        Outcome::Rejected(_) => "refused",
         Outcome::Unavailable(verdict) => verdict.as_str(),
         Outcome::StoreBehind => "store-behind",
     }
--- a/crates/galenapath-entry/src/control/operators/views.rs
+++ b/crates/galenapath-entry/src/control/operators/views.rs
@@ -7,7 +7,9 @@
     AuditWire, ChangeRecordWire, ClassesWire, ErrorCodeWire, ExplainWire, InstanceStateWire,
     PeerStatusWire, StatusWire, StoreStatusWire,
 };
-use galenapath_config::{Limits, Version, decode_page, mark_wires, page_key, page_of};
+use galenapath_config::{
+    TailLimits, Version, decode_page, last_change_wires, page_containing, page_key,
+};
 use galenapath_platform::Platform;
 use http::StatusCode;
 
@@ -20,7 +22,7 @@
     let wire = ClassesWire {
         version: config.version().0,
         classes: config.classes().map(Into::into).collect(),
-        marks: mark_wires(&config),
+        marks: last_change_wires(&config),
     };
     Answer::json(StatusCode::OK, &wire)
 }
@@ -78,7 +80,7 @@
         let records = newer.map(ChangeRecordWire::from).collect();
         return Answer::json(StatusCode::OK, &AuditWire { version, records, complete: true });
     }
-    let key = page_key(page_of(after.next(), Limits::DEFAULT));
+    let key = page_key(page_containing(after.next(), TailLimits::DEFAULT));
     let result = plane.platform.read(&key).await;
     plane.count_call("read", &result);
     let page = result.ok().and_then(|read| read.entry).map(|entry| decode_page(&entry.value));
--- a/crates/galenapath-entry/src/data/service.rs
+++ b/crates/galenapath-entry/src/data/service.rs
@@ -13,7 +13,7 @@
     Step, Ticket, WorkLength,
 };
 use galenapath_protocol::{BackendId, FastMap, Incarnation, Micros, hash64};
-use galenapath_settings::Choice;
+use galenapath_settings::BalancingPolicy;
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -227,12 +227,12 @@
 }
 
 fn balancer_config(shared: &Shared) -> BalancerConfig {
-    let policy = match shared.settings.choice {
-        Choice::Galenapath => ChoicePolicy::Galenapath,
-        Choice::Random => ChoicePolicy::Random,
-        Choice::RoundRobin => ChoicePolicy::RoundRobin,
-        Choice::LeastInFlight => ChoicePolicy::LeastInFlight,
-        Choice::PowerOfTwo => ChoicePolicy::PowerOfTwo,
+    let policy = match shared.settings.balancing_policy {
+        BalancingPolicy::Galenapath => ChoicePolicy::Galenapath,
+        BalancingPolicy::Random => ChoicePolicy::Random,
+        BalancingPolicy::RoundRobin => ChoicePolicy::RoundRobin,
+        BalancingPolicy::LeastInFlight => ChoicePolicy::LeastInFlight,
+        BalancingPolicy::PowerOfTwo => ChoicePolicy::PowerOfTwo,
     };
     BalancerConfig { policy, ..BalancerConfig::default() }
 }
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -12,7 +12,7 @@
 use galenapath_policy::{RetryBudget, RetryConfig, SharedAllowance};
 use galenapath_protocol::{BackendId, DomainId, FastMap, Micros, hash64};
 use galenapath_routes::{ServerRecord, ServerState, ServiceSpec};
-use galenapath_settings::RetryAllowance;
+use galenapath_settings::RetrySettings;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -335,7 +335,7 @@
 }
 
 /// The retries that an instance may send which serves `part` of all requests.
-fn retry_config(allowance: &RetryAllowance, part: f64) -> RetryConfig {
-    let RetryAllowance { ratio, slack, window } = *allowance;
+fn retry_config(allowance: &RetrySettings, part: f64) -> RetryConfig {
+    let RetrySettings { ratio, slack, window } = *allowance;
     SharedAllowance { ratio, slack, window: window.into() }.part(part)
 }
--- a/crates/galenapath-settings/src/checked.rs
+++ b/crates/galenapath-settings/src/checked.rs
@@ -1,6 +1,6 @@
 //! Settings after all checks.
 
-use crate::{Choice, LogLevel};
+use crate::{BalancingPolicy, LogLevel};
 use galenapath_protocol::{DomainId, InstanceId};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -22,7 +22,7 @@
     /// Least severe level that is logged.
     pub log_level: LogLevel,
     /// How backend servers are chosen; other than by default only in comparisons.
-    pub choice: Choice,
+    pub balancing_policy: BalancingPolicy,
 }
 
 /// Who an instance is.
--- a/crates/galenapath-settings/src/gateway.rs
+++ b/crates/galenapath-settings/src/gateway.rs
@@ -42,7 +42,7 @@
     /// Longest wait for one call on it.
     pub platform_timeout: Duration,
     /// What may be sent more than once.
-    pub retries: RetryAllowance,
+    pub retries: RetrySettings,
     /// Most probes to one backend server in a second, of all instances together.
     pub probes_per_second: f64,
     /// How long callers may keep an address answer.
@@ -76,7 +76,7 @@
 
 /// What all instances together may send to a service beyond the first send of each request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryAllowance {
+pub struct RetrySettings {
     /// Share of the requests.
     pub ratio: f64,
     /// Sends in one window beyond the share.
@@ -152,9 +152,9 @@
     Ok(GatewayListen { callers, readiness, addresses, peers, metrics: metrics.transpose()?, seeds })
 }
 
-fn retries(at: &Place<'_>, wire: &GatewayRetriesWire) -> Result<RetryAllowance, SettingsError> {
+fn retries(at: &Place<'_>, wire: &GatewayRetriesWire) -> Result<RetrySettings, SettingsError> {
     let window = wire.window.as_deref();
-    Ok(RetryAllowance {
+    Ok(RetrySettings {
         ratio: at.share("retries.ratio", wire.ratio, DEFAULT_RETRY_RATIO)?,
         slack: at.share("retries.slack", wire.slack, DEFAULT_RETRY_SLACK)?,
         window: at.span("retries.window", window, DEFAULT_RETRY_WINDOW)?,
--- a/crates/galenapath-settings/src/lib.rs
+++ b/crates/galenapath-settings/src/lib.rs
@@ -15,7 +15,9 @@
 pub use checked::{Instance, Limits, Listen, Platform, Settings};
 pub use error::SettingsError;
 pub use gateway::{
-    GatewayListen, GatewayLogLevel, GatewaySettings, RetryAllowance, load_gateway, parse_gateway,
+    GatewayListen, GatewayLogLevel, GatewaySettings, RetrySettings, load_gateway, parse_gateway,
+};
+pub use generated::{
+    ExperimentWireChoice as BalancingPolicy, LogWireLevel as LogLevel, SettingsWire,
 };
-pub use generated::{ExperimentWireChoice as Choice, LogWireLevel as LogLevel, SettingsWire};
 pub use load::{load, parse};
--- a/crates/galenapath-settings/src/load.rs
+++ b/crates/galenapath-settings/src/load.rs
@@ -3,7 +3,7 @@
 use crate::at::{Place, malformed};
 use crate::checked::{Instance, Limits, Listen, Platform, Settings};
 use crate::generated::{LimitsWire, ListenWire, SettingsWire};
-use crate::{Choice, LogLevel, SettingsError};
+use crate::{BalancingPolicy, LogLevel, SettingsError};
 use galenapath_protocol::{DomainId, InstanceId};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -52,7 +52,10 @@
         token_file: PathBuf::from(at.filled("operators.token_file", &wire.operators.token_file)?),
         limits: limits(&at, &wire.limits.unwrap_or_default())?,
         log_level: wire.log.and_then(|log| log.level).unwrap_or(LogLevel::Info),
-        choice: wire.experiment.and_then(|e| e.choice).unwrap_or(Choice::Galenapath),
+        balancing_policy: wire
+            .experiment
+            .and_then(|e| e.choice)
+            .unwrap_or(BalancingPolicy::Galenapath),
     };
     Ok(settings)
 }
