--- a/crates/galenapath-settings/src/error.rs
+++ b/crates/galenapath-settings/src/error.rs
@@ -1,9 +1,10 @@
-//! Errors of the settings file.
+//! Errors in settings files.
 
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a settings file cannot be used. Each says where to look and what to write instead.
+/// Why a settings file cannot be used. The message names the file and, where they are known, the
+/// line, the key and what to write instead.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -11,7 +12,7 @@
     Unreadable {
         /// The settings file.
         file: PathBuf,
-        /// What the operating system said.
+        /// Message of the operating system.
         reason: String,
     },
     /// The file is not TOML, or has unknown, missing or mistyped keys.
@@ -19,21 +20,21 @@
     Malformed {
         /// The settings file.
         file: PathBuf,
-        /// Line of the fault, from 1.
+        /// Line of the error, counted from 1.
         line: usize,
-        /// What is wrong, naming the key.
+        /// What is wrong, including the key.
         message: String,
     },
-    /// A key has a value that cannot be used.
+    /// A key has an invalid value.
     #[error("{file}:{line}: {key} = \"{value}\": {hint}", file = file.display())]
     BadValue {
         /// The settings file.
         file: PathBuf,
-        /// Line of the key, from 1.
+        /// Line of the key, counted from 1.
         line: usize,
         /// Dotted name of the key.
         key: &'static str,
-        /// The value found.
+        /// The invalid value.
         value: String,
         /// What to write instead.
         hint: String,
--- a/crates/galenapath-settings/src/lib.rs
+++ b/crates/galenapath-settings/src/lib.rs
@@ -1,7 +1,6 @@
-//! Settings of an entry instance: the TOML file, its checks and its errors.
+//! Settings of entry and gateway instances: reading and validating the TOML files.
 
-mod at;
-mod checked;
+mod entry;
 mod error;
 #[allow(missing_docs, clippy::pedantic)]
 #[rustfmt::skip]
@@ -11,8 +10,9 @@
 mod generated_gateway;
 mod gateway;
 mod load;
+mod validate;
 
-pub use checked::{Instance, Limits, Listen, Platform, Settings};
+pub use entry::{Instance, Limits, Listen, Platform, Settings};
 pub use error::SettingsError;
 pub use gateway::{
     GatewayListen, GatewayLogLevel, GatewaySettings, RetrySettings, load_gateway, parse_gateway,
--- a/crates/galenapath-settings/tests/gateway.rs
+++ b/crates/galenapath-settings/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway instance.
+//! Tests of reading a gateway instance's settings.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-const LEAST: &str = r#"
+const REQUIRED_ONLY: &str = r#"
 [instance]
 name = "g1"
 domain = "d1"
@@ -27,23 +27,23 @@
 }
 
 #[test]
-fn parse_gateway_defaults_filled_in() {
-    let settings = parse(LEAST).unwrap();
+fn parse_gateway_missing_keys_have_defaults() {
+    let settings = parse(REQUIRED_ONLY).unwrap();
     assert_eq!(settings.grace, Duration::from_secs(6));
     assert_eq!(settings.listen.metrics, None);
     assert!((settings.cores - 1.0).abs() < f64::EPSILON);
     assert!((settings.link_mbps - 1_000.0).abs() < f64::EPSILON);
-    // Seeds are named by any of their addresses and asked on the peers' port.
+    // A seed may be given by any of its addresses; it is contacted on the port for peers.
     assert_eq!(settings.listen.seeds, ["127.0.0.2:8104".parse().unwrap()]);
 }
 
 #[test]
-fn parse_gateway_all_read() {
+fn parse_gateway_all_keys_read() {
     let text = format!(
         "{}\n[retries]\nratio = 0.3\nslack = 190\nwindow = \"20s\"\n[probes]\nper_second = 42\n\
          [callers]\nkeep_addresses = \"2s\"\nconnections = 50\n[stop]\ngrace = \"8s\"\n\
          [log]\nlevel = \"warn\"\nlines_per_second = 5\n",
-        LEAST.replace("domain = \"d1\"", "domain = \"d1\"\ncores = 0.2\nlink_mbps = 10")
+        REQUIRED_ONLY.replace("domain = \"d1\"", "domain = \"d1\"\ncores = 0.2\nlink_mbps = 10")
     );
     let settings = parse(&text).unwrap();
     assert!((settings.retries.ratio - 0.3).abs() < f64::EPSILON);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn parse_gateway_faults_named_with_their_line() {
+fn parse_gateway_errors_name_key_and_line() {
     for (from, to, key, line) in [
         ("name = \"g1\"", "name = \" \"", "instance.name", 3),
         ("127.0.0.1:8102", "8102", "listen.readiness", 8),
@@ -65,9 +65,9 @@
         ("domain = \"d1\"", "domain = \"d1\"\ncores = -1.0", "instance.cores", 5),
         ("domain = \"d1\"", "domain = \"d1\"\nlink_mbps = -1.0", "instance.link_mbps", 5),
     ] {
-        let text = parse(&LEAST.replace(from, to)).unwrap_err().to_string();
+        let text = parse(&REQUIRED_ONLY.replace(from, to)).unwrap_err().to_string();
         assert!(text.starts_with(&format!("gateway.toml:{line}: {key}")), "{text}");
     }
-    let unknown = parse(&format!("{LEAST}\n[other]\n")).unwrap_err().to_string();
+    let unknown = parse(&format!("{REQUIRED_ONLY}\n[other]\n")).unwrap_err().to_string();
     assert!(unknown.contains("other"), "{unknown}");
 }
