--- a/crates/galenapath-config/src/chain.rs
+++ b/crates/galenapath-config/src/chain.rs
@@ -1,10 +1,10 @@
-//! A head together with the configuration that it describes.
+//! The head of the chain of changes together with the configuration that it describes.
 
 use crate::{ChainError, ChangeRecord, Config, Head, TailLimits, Version};
 use std::sync::Arc;
 use thiserror::Error;
 
-/// A head and its configuration.
+/// The head of the chain of changes, and the configuration at the head's version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Chain {
     head: Head,
@@ -12,25 +12,25 @@
     config: Arc<Config>,
 }
 
-/// A head that cannot be followed.
+/// Why a configuration cannot be brought to a head's version.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum FollowError {
-    /// Records are missing between the configuration and the head's tail.
-    #[error("changes are missing before the tail; snapshot {snapshot} has them")]
+    /// There are versions between the configuration and the head's tail, whose records are missing.
+    #[error("changes before the tail are missing; snapshot {snapshot} includes them")]
     Gap {
         /// Version of the snapshot to start from.
         snapshot: Version,
     },
     /// The head is older than the configuration.
-    #[error("version {0} is older")]
+    #[error("the head's version {0} is older than the configuration")]
     Older(Version),
-    /// The head does not belong to the configuration's chain.
+    /// The head and the configuration are not from the same chain.
     #[error(transparent)]
     Chain(#[from] ChainError),
 }
 
 impl Chain {
-    /// The chain at `head`, starting from `config` and applying what the tail has beyond it.
+    /// Returns the chain at `head`, by applying to `config` the records of the tail that are newer.
     pub fn follow(config: &Arc<Config>, head: Head) -> Result<Self, FollowError> {
         let version = config.version();
         if head.version() < version {
@@ -44,33 +44,34 @@
         Ok(Self { head, config })
     }
 
-    /// The chain after `records`, of which the first must be the next. The head is the one that the
-    /// store has at that version: its tail is cut at the same places.
+    /// Returns the chain with `records` appended, of which the first must have the next version.
+    /// The head is equal to the store's at that version, since its tail is compacted at the same
+    /// versions.
     pub fn with_records(
         &self,
         records: &[ChangeRecord],
         limits: TailLimits,
     ) -> Result<Self, ChainError> {
         let config = Arc::new(self.config.with_records(records)?);
-        let add = |head: Head, record: &ChangeRecord| match head.cut(limits) {
-            Some((cut, _)) => cut.with(record.clone()),
-            None => head.with(record.clone()),
+        let add = |head: Head, record: &ChangeRecord| match head.compact(limits) {
+            Some((compacted, _)) => compacted.with_record(record.clone()),
+            None => head.with_record(record.clone()),
         };
         let head = records.iter().fold(self.head.clone(), add);
         Ok(Self { head, config })
     }
 
-    /// The head.
+    /// Returns the head.
     pub fn head(&self) -> &Head {
         &self.head
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     pub fn config(&self) -> &Arc<Config> {
         &self.config
     }
 
-    /// The version of both.
+    /// Returns the version of the head and the configuration.
     pub fn version(&self) -> Version {
         self.head.version()
     }
--- a/crates/galenapath-config/src/change.rs
+++ b/crates/galenapath-config/src/change.rs
@@ -1,8 +1,8 @@
-//! Changes of the configuration, asked for and accepted.
+//! Changes to the configuration, as requested and as accepted.
 
 use crate::{ChangeId, Class, Target, Version};
 
-/// A change that an operator asks for.
+/// A change that an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Change {
     /// Adds a class. Its `revision` is zero until the change is accepted.
@@ -22,7 +22,7 @@
 }
 
 impl Change {
-    /// Name of the class that changes.
+    /// Returns the name of the class that changes.
     pub fn class_name(&self) -> &str {
         match self {
             Self::CreateClass(class) => &class.name,
@@ -31,46 +31,48 @@
     }
 }
 
-/// A change with what is needed to accept it once and only on what its author saw.
+/// A change, with an identifier that prevents it from being accepted twice and the revision that
+/// its author based it on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ChangeRequest {
-    /// Identifier; the same when the change is sent again.
+    /// Identifier of the change; a retry has the same one.
     pub id: ChangeId,
-    /// Who asks.
+    /// Who requests the change.
     pub author: String,
-    /// Revision of the class that the author saw, also of a removed one; zero where there never
-    /// was a class of that name.
+    /// Revision of the class that the author based the change on. For a removed class, the revision
+    /// of its removal; zero if no class of that name ever existed.
     pub base: Version,
-    /// What is asked for.
+    /// The requested change.
     pub change: Change,
 }
 
-/// An accepted change: the audit trail and the configuration in one.
+/// An accepted change. Records make up the audit trail, and the configuration follows from them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ChangeRecord {
-    /// Version of the configuration that the change made.
+    /// Version of the configuration that the change created.
     pub version: Version,
     /// Identifier of the change.
     pub id: ChangeId,
-    /// Who asked.
+    /// Who requested the change.
     pub author: String,
-    /// When it was proposed, in milliseconds since 1970-01-01 UTC by the accepting instance's
-    /// clock. For readers; nothing is decided by it.
+    /// When the change was proposed, in milliseconds since 1970-01-01 UTC by the accepting
+    /// instance's clock. Only for people who read the audit trail; no decision depends on it.
     pub at_unix_ms: u64,
-    /// The class before, if there was one.
+    /// The class before the change, if it existed.
     pub from: Option<Class>,
-    /// The class after, if there is one. At least one of `from` and `to` is there, of one name.
+    /// The class after the change, if it still exists. At least one of `from` and `to` is present;
+    /// where both are, their names are equal.
     pub to: Option<Class>,
 }
 
 impl ChangeRecord {
-    /// Name of the class that changed.
+    /// Returns the name of the class that changed.
     pub fn class_name(&self) -> &str {
         let class = self.to.as_ref().or(self.from.as_ref());
         class.map_or("", |class| &class.name)
     }
 
-    /// Whether the record is what accepting `req` at its base gave.
+    /// Returns whether the record is the result of accepting `req` at its base revision.
     pub fn is_result_of(&self, req: &ChangeRequest) -> bool {
         let same_effect = match (&req.change, &self.to) {
             (Change::CreateClass(class), Some(to)) => {
--- a/crates/galenapath-config/src/convert.rs
+++ b/crates/galenapath-config/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between the wire types and the own types.
+//! Conversions between the wire types and this crate's types.
 
 use crate::wire::{
     AuditPageWire, ChangeRecordWire, ChangeRequestWire, ChangeWire, ClassKindWire, ClassWire,
@@ -10,19 +10,20 @@
 };
 use thiserror::Error;
 
-/// A value that cannot be taken over.
+/// Why a wire value cannot be converted.
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    /// Not the JSON of the schema.
+    /// The JSON does not match the schema.
     #[error("not as the schema says: {0}")]
     Json(#[from] serde_json::Error),
-    /// A share outside of 0 to 1.
+    /// A share is not between 0 and 1, exclusive.
     #[error("share {0} is not between 0 and 1, exclusive; write 99 % as 0.99")]
     Share(f64),
-    /// A change record without a class, or with two names.
-    #[error("the record of version {0} does not have one class")]
+    /// A change record has no class, classes of two names, or a class whose revision is not the
+    /// record's version.
+    #[error("the record of version {0} does not describe one class at that version")]
     Record(u64),
-    /// Parts that contradict each other.
+    /// The parts contradict each other.
     #[error(transparent)]
     Chain(#[from] ChainError),
 }
@@ -232,22 +233,26 @@
     fn try_from(wire: SnapshotWire) -> Result<Self, Self::Error> {
         let classes: Result<Vec<Class>, _> =
             wire.classes.into_iter().map(TryInto::try_into).collect();
-        let mark = |wire: MarkWire| {
+        let last_change = |wire: MarkWire| {
             (wire.class, LastChange { revision: Version(wire.revision), id: ChangeId(wire.id) })
         };
-        let marks = wire.marks.into_iter().map(mark).collect();
-        Ok(Self::new(Version(wire.version), classes?, marks)?)
+        let last_changes = wire.marks.into_iter().map(last_change).collect();
+        Ok(Self::new(Version(wire.version), classes?, last_changes)?)
     }
 }
 
-/// The marks of a configuration, by name of the class.
+/// Converts the last change of each class, ordered by the class's name.
 pub fn last_change_wires(config: &Config) -> Vec<MarkWire> {
-    config.last_changes().iter().map(|(class, mark)| last_change_wire(class, mark)).collect()
+    config.last_changes().iter().map(|(class, last)| last_change_wire(class, last)).collect()
 }
 
-/// The mark of one class.
-pub fn last_change_wire(class: &str, mark: &LastChange) -> MarkWire {
-    MarkWire { class: class.to_owned(), revision: mark.revision.0, id: mark.id.0.clone() }
+/// Converts the last change of one class.
+pub fn last_change_wire(class: &str, last_change: &LastChange) -> MarkWire {
+    MarkWire {
+        class: class.to_owned(),
+        revision: last_change.revision.0,
+        id: last_change.id.0.clone(),
+    }
 }
 
 fn records(wires: Vec<ChangeRecordWire>) -> Result<Vec<ChangeRecord>, DecodeError> {
--- a/crates/galenapath-config/src/ident.rs
+++ b/crates/galenapath-config/src/ident.rs
@@ -1,8 +1,8 @@
-//! Identifiers of changes and versions.
+//! Identifiers of changes, and versions of the configuration.
 
 use std::fmt;
 
-/// Identifier of a change, chosen by the operator's tool and kept when the change is sent again.
+/// Identifier of a change. The operator's tool chooses it, and uses the same one for a retry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChangeId(pub String);
 
@@ -12,12 +12,13 @@
     }
 }
 
-/// Version of the configuration: the number of changes accepted so far. Zero is empty.
+/// Version of the configuration: the number of changes accepted so far. Version zero is the empty
+/// configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version(pub u64);
 
 impl Version {
-    /// The version that the next accepted change makes.
+    /// Returns the version that the next accepted change creates.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
--- a/crates/galenapath-config/src/lib.rs
+++ b/crates/galenapath-config/src/lib.rs
@@ -1,8 +1,9 @@
-//! The operators' configuration: classes, changes, and how a change is accepted for good.
+//! The operators' configuration: classes of work, changes to them, and how changes are accepted.
 //!
-//! The configuration is a chain of accepted changes in the platform's store. One key, the
-//! [`Head`], holds the newest version and the last records; a change is accepted by one
-//! compare-and-swap of it, so its audit record is in the same write. Everything here is pure.
+//! The configuration is a chain of accepted changes in the platform's store. One key holds the
+//! [`Head`]: the newest version and the last change records. A change is accepted by one
+//! compare-and-swap of the head, so its audit record is part of the same write. Nothing in this
+//! crate does I/O.
 
 mod acceptance;
 mod chain;
--- a/crates/galenapath-config/src/propose.rs
+++ b/crates/galenapath-config/src/propose.rs
@@ -1,4 +1,4 @@
-//! Deciding on a change request.
+//! Decides whether a change request can be accepted, and builds the head that includes it.
 
 use crate::check::check_request;
 use crate::{
@@ -8,38 +8,39 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Largest snapshot in bytes: the store holds values up to a megabyte, and a margin stays for the
-/// revisions, which grow by a digit with each tenfold of changes.
+/// Maximum size of a snapshot in bytes. The store's limit for a value is 1 MiB; the margin is for
+/// the revisions, which become one digit longer whenever the number of changes grows tenfold.
 pub const MAX_SNAPSHOT_BYTES: usize = 1_000_000;
 
-/// The head that accepts a change, once it is swapped in.
+/// A head that includes a new change, and what to write before it. The change is accepted once the
+/// head is in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposal {
     /// The new head.
     pub head: Head,
-    /// What must be in the store before the new head.
+    /// What must be written to the store before the new head, if its tail is compacted.
     pub compaction: Option<Compaction>,
 }
 
-/// A full tail's oldest page and the snapshot that takes its place.
+/// The page of records removed from a full tail, and the snapshot that includes their effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Compaction {
-    /// The page.
+    /// The records removed from the tail.
     pub page: AuditPage,
     /// The configuration before the change.
     pub snapshot: Arc<Config>,
 }
 
-/// Why a change is not proposed.
+/// Why a change request is rejected.
 #[derive(Clone, Debug, Error, PartialEq, Eq, Hash)]
 pub enum ChangeRejection {
-    /// The same change was accepted before; a success for whoever sends it again.
+    /// The same change is accepted already. For a retry this is a success.
     #[error("already accepted as version {version}")]
     AlreadyAccepted {
-        /// Version that it made.
+        /// Version that it created.
         version: Version,
     },
-    /// The class has changed since the author saw it.
+    /// The class has changed since the revision that the change is based on.
     #[error("class `{class}` was changed meanwhile by change `{}` (version {})", newer.id, newer.revision)]
     Conflict {
         /// The class.
@@ -47,47 +48,52 @@
         /// The newer change.
         newer: LastChange,
     },
-    /// The class has changed, and the change may be one of those that are no longer in the tail.
+    /// The class has changed since the revision that the change is based on. The tail does not go
+    /// back to that revision, so the requested change itself may be among those accepted since.
     #[error("class `{class}` has changed so long ago that only the audit trail tells by whom")]
     BaseTooOld {
         /// The class.
         class: String,
     },
-    /// Another change has the identifier.
+    /// Another change has the same identifier.
     #[error("another change, version {version}, has the same identifier")]
     IdReused {
         /// Version of the other change.
         version: Version,
     },
-    /// There is no such class.
+    /// No class has that name.
     #[error("there is no class `{class}`")]
     NoSuchClass {
         /// The class.
         class: String,
     },
-    /// There is a class of that name.
+    /// A class of that name exists already.
     #[error("class `{class}` exists already")]
     ClassExists {
         /// The class.
         class: String,
     },
-    /// Another class covers the same requests.
+    /// Another class with the same prefix matches some of the same requests.
     #[error("class `{other}` covers the same service, path and method")]
     Overlap {
         /// The other class.
         other: String,
     },
-    /// The classes, and what is kept of removed ones, would not fit a value of the store.
+    /// The classes, and the last changes of removed ones, would not fit into a value of the store.
     #[error("the configuration would be larger than {MAX_SNAPSHOT_BYTES} bytes")]
     TooLarge,
-    /// A field cannot be accepted.
+    /// A field of the request has an invalid value.
     #[error(transparent)]
     Invalid(#[from] InvalidField),
 }
 
-/// Builds the head that accepts `req` on top of `chain`, or says why not.
+/// Builds the head that adds the change `req` to `chain`.
 ///
-/// `at_unix_ms` goes into the audit trail and decides nothing.
+/// `at_unix_ms` is only written to the audit trail; no decision depends on it.
+///
+/// # Errors
+///
+/// The reason why the change cannot be accepted.
 pub fn propose(
     chain: &Chain,
     req: &ChangeRequest,
@@ -100,16 +106,16 @@
     let config = chain.config();
     let version = config.version().next();
     let from = config.class(req.change.class_name()).cloned();
-    let to = result(config, &req.change, version)?;
+    let to = resulting_class(config, &req.change, version)?;
     let id = req.id.clone();
     let author = req.author.clone();
     let record = ChangeRecord { version, id, author, at_unix_ms, from, to };
-    Ok(match chain.head().cut(limits) {
+    Ok(match chain.head().compact(limits) {
         Some((head, page)) => {
-            let cut = Compaction { page, snapshot: config.clone() };
-            Proposal { head: head.with(record), compaction: Some(cut) }
+            let compaction = Compaction { page, snapshot: config.clone() };
+            Proposal { head: head.with_record(record), compaction: Some(compaction) }
         }
-        None => Proposal { head: chain.head().with(record), compaction: None },
+        None => Proposal { head: chain.head().with_record(record), compaction: None },
     })
 }
 
@@ -121,10 +127,10 @@
             false => ChangeRejection::IdReused { version },
         });
     }
-    let mark = chain.config().last_changes().get(req.change.class_name());
-    match mark {
-        Some(mark) if mark.id == req.id => {
-            Err(ChangeRejection::AlreadyAccepted { version: mark.revision })
+    let last_change = chain.config().last_changes().get(req.change.class_name());
+    match last_change {
+        Some(last) if last.id == req.id => {
+            Err(ChangeRejection::AlreadyAccepted { version: last.revision })
         }
         _ => Ok(()),
     }
@@ -132,11 +138,11 @@
 
 fn check_base(chain: &Chain, req: &ChangeRequest) -> Result<(), ChangeRejection> {
     let class = req.change.class_name().to_owned();
-    let mark = chain.config().last_changes().get(&class);
-    if mark.map_or(Version(0), |mark| mark.revision) == req.base {
+    let last_change = chain.config().last_changes().get(&class);
+    if last_change.map_or(Version(0), |last| last.revision) == req.base {
         return Ok(());
     }
-    match mark {
+    match last_change {
         Some(newer) if req.base >= chain.head().before_tail() => {
             Err(ChangeRejection::Conflict { class, newer: newer.clone() })
         }
@@ -145,7 +151,7 @@
     }
 }
 
-fn result(
+fn resulting_class(
     config: &Config,
     change: &Change,
     revision: Version,
--- a/crates/galenapath-config/src/replica.rs
+++ b/crates/galenapath-config/src/replica.rs
@@ -1,57 +1,58 @@
-//! What one instance knows of the configuration.
+//! One instance's copy of the configuration.
 
 use crate::{Chain, ChangeRecord, Config, FollowError, Head, TailLimits, Version};
 use std::sync::Arc;
 
-/// An instance's copy of the configuration. Its version never goes down.
+/// An instance's copy of the configuration. Its version never decreases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Replica {
     chain: Chain,
 }
 
-/// What an offered head did to a replica.
+/// The outcome of applying a head or records to a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// The replica is at the head now.
+    /// The replica advanced to the head's version.
     Advanced {
-        /// Version before.
+        /// Version before the update.
         from: Version,
     },
-    /// The replica was there, or further.
+    /// The replica had that version or a newer one already.
     Stale,
-    /// Changes are missing: offer the head again with the snapshot, or with a peer's configuration.
+    /// Changes between the replica and the head's tail are missing. The head must be applied again
+    /// together with the snapshot or a peer's configuration, see [`Replica::apply_from`].
     Gap {
         /// Version of the snapshot to fetch.
         snapshot: Version,
     },
-    /// The head contradicts what the replica knows. Nothing is changed; the store must be looked
-    /// at by a person.
+    /// The head or the records contradict the replica, which is unchanged. An operator must inspect
+    /// the store.
     Diverged,
 }
 
 impl Replica {
-    /// The chain as the replica knows it.
+    /// Returns the chain at the replica's version.
     pub fn chain(&self) -> &Chain {
         &self.chain
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> &Arc<Config> {
         self.chain.config()
     }
 
-    /// Version of the configuration in force.
+    /// Returns the version of the configuration in force.
     pub fn version(&self) -> Version {
         self.chain.version()
     }
 
-    /// Takes over a head, whoever offers it, unless it is older.
+    /// Applies a head from the store or a peer, unless it is older.
     pub fn apply(&mut self, head: Head) -> ApplyOutcome {
         let config = self.config().clone();
         self.apply_from(&config, head)
     }
 
-    /// Takes over a head that starts from a snapshot or from a peer's configuration.
+    /// Applies a head to `config`, a snapshot or a peer's configuration, and adopts the result.
     pub fn apply_from(&mut self, config: &Arc<Config>, head: Head) -> ApplyOutcome {
         if head.version() <= self.version() {
             return if self.contradicts(&head) {
@@ -61,14 +62,14 @@
             };
         }
         match Chain::follow(config, head) {
-            Ok(chain) => self.install(chain),
+            Ok(chain) => self.advance(chain),
             Err(FollowError::Gap { snapshot }) => ApplyOutcome::Gap { snapshot },
             Err(FollowError::Older(_)) => ApplyOutcome::Stale,
             Err(FollowError::Chain(_)) => ApplyOutcome::Diverged,
         }
     }
 
-    /// Takes over records that follow each other; those that it knows are passed over.
+    /// Applies records with consecutive versions, and skips those that the replica has already.
     pub fn extend(&mut self, records: &[ChangeRecord], limits: TailLimits) -> ApplyOutcome {
         let known = records.partition_point(|record| record.version <= self.version());
         let newer = &records[known..];
@@ -76,12 +77,12 @@
             return ApplyOutcome::Stale;
         }
         match self.chain.with_records(newer, limits) {
-            Ok(chain) => self.install(chain),
+            Ok(chain) => self.advance(chain),
             Err(_) => ApplyOutcome::Diverged,
         }
     }
 
-    fn install(&mut self, chain: Chain) -> ApplyOutcome {
+    fn advance(&mut self, chain: Chain) -> ApplyOutcome {
         if self.contradicts(chain.head()) {
             return ApplyOutcome::Diverged;
         }
@@ -90,14 +91,14 @@
         ApplyOutcome::Advanced { from }
     }
 
-    /// Whether the two tails hold different records for one version.
+    /// Returns whether the two tails have different records for the same version.
     fn contradicts(&self, head: &Head) -> bool {
         let known = self.chain.head().tail();
         let Some(first) = known.first() else { return false };
         let mut common = head.tail().iter().filter(|r| r.version >= first.version);
         common.any(|record| {
-            let at = (record.version.0 - first.version.0) as usize;
-            known.get(at).is_some_and(|k| k != record)
+            let index = (record.version.0 - first.version.0) as usize;
+            known.get(index).is_some_and(|k| k != record)
         })
     }
 }
--- a/crates/galenapath-config/src/wire.rs
+++ b/crates/galenapath-config/src/wire.rs
@@ -1,4 +1,4 @@
-//! Wire types: values in the platform's store, and the operators' interface.
+//! Wire types of the values in the platform's store and of the operators' API.
 
 pub use crate::generated::{
     AuditPageWire, ChangeRecordWire, ChangeRequestWire, ChangeWire, ClassKindWire, ClassWire,
