--- a/crates/galenapath-config/tests/config.rs
+++ b/crates/galenapath-config/tests/config.rs
@@ -1,4 +1,4 @@
-//! Classification of requests.
+//! Tests of the classification of requests.
 
 #![expect(clippy::unwrap_used, reason = "helpers of tests fail as the tests do")]
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn classify_method_falls_to_shorter_prefix() {
+fn classify_other_method_matches_shorter_prefix() {
     let post = Class { methods: vec!["POST".into()], ..class("file", "/") };
     let config = config_of(&[class("maps", "/maps"), post]);
     let found = config.classify("timetable", "POST", "/maps/1").unwrap();
@@ -44,17 +44,17 @@
 }
 
 #[test]
-fn create_overlap_refused() {
+fn create_overlap_rejected() {
     let chain = accept(&Chain::default(), &create("1", "maps"), TailLimits::DEFAULT);
     let twin = Class { methods: vec![], ..class("twin", "/maps/") };
     let req = request("2", 0, Change::CreateClass(twin));
-    let refusal = propose(&chain, &req, 0, TailLimits::DEFAULT).unwrap_err();
-    assert_eq!(refusal, ChangeRejection::Overlap { other: "maps".into() });
+    let rejection = propose(&chain, &req, 0, TailLimits::DEFAULT).unwrap_err();
+    assert_eq!(rejection, ChangeRejection::Overlap { other: "maps".into() });
 }
 
 /// Prints the time of one classification: `--release -- --ignored --nocapture`.
 #[test]
-#[ignore = "a measurement"]
+#[ignore = "a benchmark"]
 fn measure_classify() {
     const CALLS: u32 = 1_000_000;
     let in_services =
--- a/crates/galenapath-config/tests/model.rs
+++ b/crates/galenapath-config/tests/model.rs
@@ -1,7 +1,8 @@
-//! Exhaustive check of the configuration's protocol: `docs/SPEC-configuration.md`.
+//! Exhaustive model check of the configuration protocol in `docs/SPEC-configuration.md`.
 //!
-//! The worlds run the crate's own `Acceptance`, `propose`, `Chain` and `Replica`; the graph search
-//! is a library's. Each guard is taken out once, and the search must then find a violation.
+//! A state of the model is a `World`. Its transitions run the crate's `Acceptance`, `propose`,
+//! `Chain` and `Replica`; a library does the breadth-first search. For each `Mutation`, which
+//! removes one safeguard of the protocol, the search must find a violation.
 
 #![expect(clippy::unwrap_used, reason = "helpers of tests fail as the tests do")]
 
@@ -20,9 +21,9 @@
 use std::sync::Arc;
 use store::Store;
 use support::{accept, create, remove, set_target};
-use world::{Faults, Instance, Mutation, Operator, Told, World};
+use world::{Answer, Faults, Instance, Mutation, Operator, World};
 
-/// A world and the event that led to it; the event does not tell worlds apart.
+/// A world and the event that led to it. Equality and hash ignore the event.
 #[derive(Clone)]
 struct Step {
     event: String,
@@ -39,29 +40,29 @@
 
 impl Hash for Step {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.world.hash_small(state);
+        self.world.hash_part(state);
     }
 }
 
-/// Size of a search.
+/// Bounds of the state space.
 #[derive(Clone, Copy)]
 struct Bounds {
     instances: usize,
     limits: TailLimits,
-    tries: u8,
+    attempts: u8,
     faults: Faults,
 }
 
-const TIGHT: TailLimits = TailLimits { max_records: 1, page_records: 1 };
-const ROOMY: TailLimits = TailLimits { max_records: 8, page_records: 4 };
+const SHORT_TAIL: TailLimits = TailLimits { max_records: 1, page_records: 1 };
+const LONG_TAIL: TailLimits = TailLimits { max_records: 8, page_records: 4 };
 
 const OUTAGE: Faults = Faults { lost: 1, crashes: 0, outages: 1 };
 const CRASH: Faults = Faults { lost: 1, crashes: 1, outages: 0 };
 
-const TWO: Bounds = Bounds {
+const TWO_INSTANCES: Bounds = Bounds {
     instances: 2,
-    limits: TIGHT,
-    tries: 2,
+    limits: SHORT_TAIL,
+    attempts: 2,
     faults: Faults { lost: 1, crashes: 1, outages: 1 },
 };
 
@@ -69,16 +70,21 @@
     let limits = bounds.limits;
     let first = accept(&Chain::default(), &create("1", "a"), limits);
     let second = accept(&first, &create("2", "b"), limits);
-    let store = Store::with(&[first.clone(), second.clone()], limits);
-    let operator = |req| Operator { req, tries: bounds.tries, told: Told::Nothing, waiting: false };
-    let knowing = |chain: &Chain| {
+    let store = Store::after(&[first.clone(), second.clone()], limits);
+    let operator = |req| Operator {
+        req,
+        attempts_left: bounds.attempts,
+        answer: Answer::Nothing,
+        waiting: false,
+    };
+    let instance_at = |chain: &Chain| {
         let mut instance = Instance::default();
         instance.replica.apply_from(chain.config(), chain.head().clone());
         instance
     };
-    let mut instances = vec![knowing(&second); bounds.instances];
-    // One instance has missed the last change.
-    instances[bounds.instances - 1] = knowing(&first);
+    let mut instances = vec![instance_at(&second); bounds.instances];
+    // The last instance does not know the last change.
+    instances[bounds.instances - 1] = instance_at(&first);
     World {
         mutation,
         limits,
@@ -93,11 +99,12 @@
     }
 }
 
-/// Searches all worlds; the violation and the shortest trace to one, and the worlds seen.
+/// Searches all reachable worlds. Returns the first violation with the shortest trace to it, and
+/// the number of visited worlds.
 fn search(world: World) -> (Option<(&'static str, Vec<String>)>, usize) {
-    let seen = Cell::new(0);
+    let visited = Cell::new(0);
     let successors = |step: &Step| {
-        seen.set(seen.get() + 1);
+        visited.set(visited.get() + 1);
         let next = step.world.successors();
         next.into_iter().map(|(event, world)| Step { event, world }).collect::<Vec<_>>()
     };
@@ -108,7 +115,7 @@
         let violation = steps.last().and_then(|step| step.world.violation).unwrap();
         (violation, steps.into_iter().skip(1).map(|step| step.event).collect())
     });
-    (found, seen.get())
+    (found, visited.get())
 }
 
 fn same_class() -> [ChangeRequest; 2] {
@@ -124,107 +131,120 @@
 }
 
 #[track_caller]
-fn holds(name: &str, bounds: Bounds, requests: [ChangeRequest; 2]) {
-    let (found, seen) = search(start(bounds, Mutation::None, requests));
-    println!("{name}: {seen} states, violation: {found:?}");
+fn assert_holds(name: &str, bounds: Bounds, requests: [ChangeRequest; 2]) {
+    let (found, visited) = search(start(bounds, Mutation::None, requests));
+    println!("{name}: {visited} states, violation: {found:?}");
     assert!(found.is_none(), "{found:#?}");
 }
 
 #[track_caller]
-fn caught(mutation: Mutation, bounds: Bounds, requests: [ChangeRequest; 2], expected: &str) {
-    let (found, seen) = search(start(bounds, mutation, requests));
+fn assert_caught(mutation: Mutation, bounds: Bounds, requests: [ChangeRequest; 2], expected: &str) {
+    let (found, visited) = search(start(bounds, mutation, requests));
     let (violation, trace) = found.unwrap_or_else(|| panic!("{mutation:?} not caught"));
-    println!("{mutation:?}: {violation} ({seen} states)\n  {}", trace.join("\n  "));
+    println!("{mutation:?}: {violation} ({visited} states)\n  {}", trace.join("\n  "));
     assert_eq!(violation, expected);
 }
 
 #[test]
 fn model_same_class_outage_holds() {
-    holds("same class, outage, tail 1", Bounds { faults: OUTAGE, ..TWO }, same_class());
+    assert_holds(
+        "same class, outage, tail 1",
+        Bounds { faults: OUTAGE, ..TWO_INSTANCES },
+        same_class(),
+    );
 }
 
 #[test]
 fn model_same_class_crash_holds() {
-    let bounds = Bounds { faults: CRASH, tries: 1, ..TWO };
-    holds("same class, crash, tail 1", bounds, same_class());
+    let bounds = Bounds { faults: CRASH, attempts: 1, ..TWO_INSTANCES };
+    assert_holds("same class, crash, tail 1", bounds, same_class());
 }
 
 #[test]
 fn model_two_classes_outage_holds() {
-    holds("two classes, outage, tail 1", Bounds { faults: OUTAGE, ..TWO }, two_classes());
+    assert_holds(
+        "two classes, outage, tail 1",
+        Bounds { faults: OUTAGE, ..TWO_INSTANCES },
+        two_classes(),
+    );
 }
 
 #[test]
 fn model_target_and_removal_holds() {
-    let bounds = Bounds { limits: ROOMY, faults: OUTAGE, ..TWO };
-    holds("target and removal, outage, tail 8", bounds, target_and_removal());
+    let bounds = Bounds { limits: LONG_TAIL, faults: OUTAGE, ..TWO_INSTANCES };
+    assert_holds("target and removal, outage, tail 8", bounds, target_and_removal());
 }
 
 #[test]
 fn model_three_instances_holds() {
-    let bounds = Bounds { instances: 3, limits: ROOMY, faults: OUTAGE, tries: 1 };
-    holds("three instances, outage, tail 8", bounds, same_class());
+    let bounds = Bounds { instances: 3, limits: LONG_TAIL, faults: OUTAGE, attempts: 1 };
+    assert_holds("three instances, outage, tail 8", bounds, same_class());
 }
 
 #[test]
 fn model_same_class_all_faults_holds() {
-    holds("same class, all faults, tail 1", TWO, same_class());
+    assert_holds("same class, all faults, tail 1", TWO_INSTANCES, same_class());
 }
 
 #[test]
 fn model_two_classes_all_faults_holds() {
-    holds("two classes, all faults, tail 1", TWO, two_classes());
+    assert_holds("two classes, all faults, tail 1", TWO_INSTANCES, two_classes());
 }
 
 #[test]
-fn mutation_older_taken_caught() {
+fn mutation_older_applied_caught() {
     let expected = "a replica went back to an older version";
-    caught(Mutation::OlderTaken, TWO, same_class(), expected);
+    assert_caught(Mutation::OlderApplied, TWO_INSTANCES, same_class(), expected);
 }
 
 #[test]
 fn mutation_gap_ignored_caught() {
     let expected = "a replica differs from the chain at its version";
-    caught(Mutation::GapIgnored, TWO, two_classes(), expected);
+    assert_caught(Mutation::GapIgnored, TWO_INSTANCES, two_classes(), expected);
 }
 
 #[test]
-fn mutation_swap_blind_caught() {
-    caught(Mutation::SwapBlind, TWO, same_class(), "an accepted change was overwritten");
+fn mutation_unconditional_swap_caught() {
+    assert_caught(
+        Mutation::UnconditionalSwap,
+        TWO_INSTANCES,
+        same_class(),
+        "an accepted change was overwritten",
+    );
 }
 
 #[test]
 fn mutation_lost_reply_is_not_run_caught() {
-    let expected = "a change told as not accepted is in the chain";
-    caught(Mutation::LostReplyIsNotRun, TWO, same_class(), expected);
+    let expected = "a change reported as not accepted is in the chain";
+    assert_caught(Mutation::LostReplyIsNotRun, TWO_INSTANCES, same_class(), expected);
 }
 
 #[test]
 fn mutation_index_ignored_caught() {
-    let expected = "a change told as not accepted is in the chain";
-    caught(Mutation::IndexIgnored, TWO, same_class(), expected);
+    let expected = "a change reported as not accepted is in the chain";
+    assert_caught(Mutation::IndexIgnored, TWO_INSTANCES, same_class(), expected);
 }
 
 #[test]
 fn mutation_new_id_on_retry_caught() {
-    let expected = "a change told as not accepted is in the chain";
-    caught(Mutation::NewIdOnRetry, TWO, same_class(), expected);
+    let expected = "a change reported as not accepted is in the chain";
+    assert_caught(Mutation::NewIdOnRetry, TWO_INSTANCES, same_class(), expected);
 }
 
 #[test]
 fn mutation_base_ignored_caught() {
     let expected = "a change was accepted on what its author had not seen";
-    caught(Mutation::BaseIgnored, TWO, same_class(), expected);
+    assert_caught(Mutation::BaseIgnored, TWO_INSTANCES, same_class(), expected);
 }
 
 #[test]
 fn mutation_old_base_is_conflict_caught() {
-    let expected = "a change told as not accepted is in the chain";
-    caught(Mutation::OldBaseIsConflict, TWO, same_class(), expected);
+    let expected = "a change reported as not accepted is in the chain";
+    assert_caught(Mutation::OldBaseIsConflict, TWO_INSTANCES, same_class(), expected);
 }
 
 #[test]
-fn mutation_cut_not_first_caught() {
+fn mutation_compaction_not_first_caught() {
     let expected = "the store does not give the newest configuration";
-    caught(Mutation::CutNotFirst, TWO, same_class(), expected);
+    assert_caught(Mutation::CompactionNotFirst, TWO_INSTANCES, same_class(), expected);
 }
--- a/crates/galenapath-config/tests/model/store.rs
+++ b/crates/galenapath-config/tests/model/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store as the model sees it.
+//! Model of the platform's store.
 
 use galenapath_config::{
     AuditPage, Chain, ChangeRecord, Config, Head, HeadIndex, TailLimits, Version, page_containing,
@@ -15,8 +15,8 @@
 }
 
 impl Store {
-    /// A store that holds `chains`, accepted one after the other.
-    pub fn with(chains: &[Chain], limits: TailLimits) -> Self {
+    /// Returns a store after `chains`, each of which has one more change, were written in order.
+    pub fn after(chains: &[Chain], limits: TailLimits) -> Self {
         let mut store = Self {
             index: HeadIndex(0),
             head: Head::default(),
@@ -27,8 +27,8 @@
             let before = store.head.before_tail();
             let after = chain.head().before_tail();
             if after > before {
-                let cut = (after.0 - before.0) as usize;
-                let records = store.head.tail()[..cut].to_vec();
+                let count = (after.0 - before.0) as usize;
+                let records = store.head.tail()[..count].to_vec();
                 let snapshot = chains[store.head.version().0 as usize - 1].config().clone();
                 store.snapshots.insert(store.head.version(), snapshot);
                 store.pages.insert(page_containing(after, limits), AuditPage { records });
@@ -48,7 +48,7 @@
         true
     }
 
-    /// All records from the pages and the tail, oldest first; `None` where some are missing.
+    /// Returns all records from the pages and the tail, oldest first; `None` if some are missing.
     pub fn audit(&self) -> Option<Vec<ChangeRecord>> {
         let mut records: Vec<ChangeRecord> =
             self.pages.values().flat_map(|page| page.records.clone()).collect();
@@ -61,7 +61,7 @@
         Some(records)
     }
 
-    /// What an instance that knows nothing reads from the store.
+    /// Returns the chain as an instance without any state reads it from the store.
     pub fn load(&self) -> Option<Chain> {
         let empty = Arc::new(Config::default());
         let start = match self.head.snapshot() {
--- a/crates/galenapath-config/tests/model/world.rs
+++ b/crates/galenapath-config/tests/model/world.rs
@@ -1,4 +1,5 @@
-//! Two operators race through a few instances; the store and the network misbehave.
+//! The state of the model: two operators change classes through a few instances at the same time,
+//! while the store and the network fail.
 
 use super::store::Store;
 use galenapath_config::{
@@ -9,34 +10,34 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// A guard of the protocol that is taken out.
+/// A safeguard of the protocol that is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutation {
     None,
-    /// A replica takes whatever head it is offered.
-    OlderTaken,
+    /// A replica applies older heads too.
+    OlderApplied,
     /// A replica applies a tail that does not reach its version.
     GapIgnored,
-    /// The store is written without comparing.
-    SwapBlind,
-    /// A write without a reply is taken for one that was not made.
+    /// The head is written without comparing its index.
+    UnconditionalSwap,
+    /// A write whose reply is lost counts as not executed.
     LostReplyIsNotRun,
-    /// The read back does not look at the index.
+    /// After a swap without a reply, the index of the head is not compared.
     IndexIgnored,
-    /// An operator's tool sends again under a new identifier, on what it sees now.
+    /// An operator's tool retries with a new identifier, based on the current revision.
     NewIdOnRetry,
-    /// The revision that the operator saw is not compared.
+    /// The revision that the operator's change is based on is not compared.
     BaseIgnored,
-    /// A change that may have left the tail is called a conflict.
+    /// A change whose record may no longer be in the tail is reported as a conflict.
     OldBaseIsConflict,
     /// The snapshot and the page are not written before the head.
-    CutNotFirst,
+    CompactionNotFirst,
 }
 
-/// Takes the name of an event and what it does to a world.
-type Add<'a> = dyn FnMut(String, &dyn Fn(&mut World)) + 'a;
+/// Adds an event, given its name and its effect on a world.
+type AddEvent<'a> = dyn FnMut(String, &dyn Fn(&mut World)) + 'a;
 
-/// What may go wrong how often.
+/// How often each kind of fault may still occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Faults {
     pub lost: u8,
@@ -44,11 +45,12 @@
     pub outages: u8,
 }
 
+/// What the operator knows about its change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Told {
+pub enum Answer {
     Nothing,
     Accepted(Version),
-    /// Told that it was not accepted; no earlier try is open.
+    /// The change was reported as not accepted, and no earlier attempt is unresolved.
     NotAccepted,
     Unknown,
 }
@@ -56,8 +58,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Operator {
     pub req: ChangeRequest,
-    pub tries: u8,
-    pub told: Told,
+    pub attempts_left: u8,
+    pub answer: Answer,
     pub waiting: bool,
 }
 
@@ -66,7 +68,7 @@
     operator: usize,
     acceptance: Acceptance,
     action: Action,
-    /// Index that the store really had, where the acceptance is not told.
+    /// Index that the head really had, even where a mutation hides it from `acceptance`.
     index: HeadIndex,
 }
 
@@ -83,21 +85,22 @@
     pub faults: Faults,
     pub down: bool,
     pub store: Store,
-    /// Swaps that were sent and may still arrive.
+    /// Swaps that were sent and may still arrive at the store.
     pub delayed: Vec<(HeadIndex, Head)>,
     pub instances: Vec<Instance>,
     pub operators: Vec<Operator>,
-    /// Every chain that was ever in the store, from the empty one on.
+    /// Every chain that has been in the store, oldest first, starting with the empty one.
     pub history: Vec<Arc<Chain>>,
     pub violation: Option<&'static str>,
 }
 
 impl World {
-    /// Hashes what tells most worlds apart; equality looks at all of it.
-    pub fn hash_small<H: Hasher>(&self, state: &mut H) {
+    /// Hashes a part of the state that differs between most worlds; equality compares all of it.
+    pub fn hash_part<H: Hasher>(&self, state: &mut H) {
         (self.store.index, self.down, self.faults, self.delayed.len()).hash(state);
         for operator in &self.operators {
-            (&operator.told, operator.tries, operator.waiting, operator.req.base).hash(state);
+            (&operator.answer, operator.attempts_left, operator.waiting, operator.req.base)
+                .hash(state);
         }
         for instance in &self.instances {
             instance.replica.version().hash(state);
@@ -107,12 +110,13 @@
         }
     }
 
-    /// Every world that one event can lead to, with the event's name. A world that breaks a rule
-    /// leads only to itself with the violation noted, so each world is checked once.
+    /// Returns every world that one event can lead to, with the event's name. The only successor of
+    /// a world that violates a rule is itself with the violation recorded, so each world is checked
+    /// once.
     pub fn successors(&self) -> Vec<(String, Self)> {
-        if let Some(rule) = self.broken_rule() {
+        if let Some(rule) = self.violated_rule() {
             let world = Self { violation: Some(rule), ..self.clone() };
-            return vec![("which breaks a rule".into(), world)];
+            return vec![("which violates a rule".into(), world)];
         }
         let mut next = Vec::new();
         let mut add = |label: String, event: &dyn Fn(&mut World)| {
@@ -140,17 +144,22 @@
         next
     }
 
-    fn instance_events(&self, at: usize, add: &mut Add) {
+    fn instance_events(&self, at: usize, add: &mut AddEvent) {
         for (n, operator) in self.operators.iter().enumerate() {
-            let open = matches!(operator.told, Told::Nothing | Told::Unknown);
-            if open && !operator.waiting && operator.tries > 0 && self.instances[at].task.is_none()
+            let open = matches!(operator.answer, Answer::Nothing | Answer::Unknown);
+            if open
+                && !operator.waiting
+                && operator.attempts_left > 0
+                && self.instances[at].task.is_none()
             {
-                add(format!("operator {n} asks instance {at}"), &|world| world.ask(n, at));
+                add(format!("operator {n} sends its change to instance {at}"), &|world| {
+                    world.send_change(n, at);
+                });
             }
         }
         for version in 0..self.history.len() {
-            let label = format!("instance {at} is offered version {version}");
-            add(label, &|world| world.offer(at, version));
+            let label = format!("instance {at} receives version {version}");
+            add(label, &|world| world.receive_version(at, version));
         }
         if self.faults.crashes > 0 {
             add(format!("instance {at} restarts"), &|world| world.restart(at));
@@ -161,7 +170,7 @@
         }
     }
 
-    fn action_events(&self, at: usize, task: &Task, label: &str, add: &mut Add) {
+    fn action_events(&self, at: usize, task: &Task, label: &str, add: &mut AddEvent) {
         if self.down {
             add(format!("{label}, store down"), &|world| {
                 world.feed(at, Event::Failed(Verdict::NotRun));
@@ -177,7 +186,7 @@
                 })
             }
             Action::WriteCompaction { snapshot, page } => add(label.into(), &|world| {
-                if world.mutation != Mutation::CutNotFirst {
+                if world.mutation != Mutation::CompactionNotFirst {
                     world.store.snapshots.insert(snapshot.version(), snapshot.clone());
                     world.store.pages.insert(page.last_version(), page.clone());
                 }
@@ -194,7 +203,14 @@
         }
     }
 
-    fn swap_events(&self, at: usize, expected: HeadIndex, head: &Head, label: &str, add: &mut Add) {
+    fn swap_events(
+        &self,
+        at: usize,
+        expected: HeadIndex,
+        head: &Head,
+        label: &str,
+        add: &mut AddEvent,
+    ) {
         add(label.into(), &|world| {
             let done = world.swap(expected, head);
             world.feed(at, if done { Event::Swapped } else { Event::SwapConflict });
@@ -214,18 +230,18 @@
         });
     }
 
-    fn ask(&mut self, n: usize, at: usize) {
+    fn send_change(&mut self, n: usize, at: usize) {
         let replica = self.instances[at].replica.clone();
         let operator = &mut self.operators[n];
-        let again = operator.told == Told::Unknown;
-        let sees_anew = !again || self.mutation == Mutation::NewIdOnRetry;
-        if again && self.mutation == Mutation::NewIdOnRetry {
+        let is_retry = operator.answer == Answer::Unknown;
+        let reads_base = !is_retry || self.mutation == Mutation::NewIdOnRetry;
+        if is_retry && self.mutation == Mutation::NewIdOnRetry {
             operator.req.id.0.push('+');
         }
-        if sees_anew {
+        if reads_base {
             operator.req.base = replica.config().revision(operator.req.change.class_name());
         }
-        operator.tries -= 1;
+        operator.attempts_left -= 1;
         operator.waiting = true;
         let acceptance = Acceptance::new(operator.req.clone(), replica, 0, self.limits);
         let index = HeadIndex(0);
@@ -233,12 +249,12 @@
         self.instances[at].task = Some(task);
     }
 
-    fn offer(&mut self, at: usize, version: usize) {
+    fn receive_version(&mut self, at: usize, version: usize) {
         let chain = self.history[version].clone();
         let replica = &mut self.instances[at].replica;
         let before = replica.version();
         match self.mutation {
-            Mutation::OlderTaken => {
+            Mutation::OlderApplied => {
                 *replica = Replica::default();
                 replica.apply_from(chain.config(), chain.head().clone());
             }
@@ -262,10 +278,10 @@
         self.faults.crashes -= 1;
         if let Some(task) = self.instances[at].task.take() {
             let operator = &mut self.operators[task.operator];
-            operator.told = Told::Unknown;
+            operator.answer = Answer::Unknown;
             operator.waiting = false;
             if let Action::Swap { expected, head } = task.action {
-                // Sent just before the crash.
+                // The swap was sent just before the crash.
                 self.delayed.push((expected, head));
             }
         }
@@ -279,7 +295,7 @@
         task.index = index;
         match self.mutation {
             Mutation::IndexIgnored => {
-                // Looks as if the head had moved on since a swap without a reply.
+                // Appears as if the head had changed since a swap without a reply.
                 index.0 += 1_000 * (1 + u64::from(self.faults.lost));
             }
             Mutation::BaseIgnored => {
@@ -308,47 +324,49 @@
         if let Action::Answer(outcome) = task.action.clone() {
             let n = task.operator;
             self.instances[at].task = None;
-            self.answer(at, n, outcome);
+            self.apply_outcome(at, n, outcome);
         }
     }
 
-    fn answer(&mut self, at: usize, n: usize, outcome: Outcome) {
-        let before = self.operators[n].told.clone();
-        let told = match outcome {
+    fn apply_outcome(&mut self, at: usize, n: usize, outcome: Outcome) {
+        let before = self.operators[n].answer.clone();
+        let answer = match outcome {
             Outcome::Accepted { version, chain } => {
                 self.instances[at].replica.apply_from(chain.config(), chain.head().clone());
-                Told::Accepted(version)
+                Answer::Accepted(version)
             }
             Outcome::Rejected(ChangeRejection::BaseTooOld { .. })
                 if self.mutation != Mutation::OldBaseIsConflict =>
             {
-                Told::Unknown
+                Answer::Unknown
             }
-            Outcome::Rejected(_) => Told::NotAccepted,
-            Outcome::Unavailable(Verdict::NotRun) if before == Told::Nothing => Told::NotAccepted,
-            Outcome::Unavailable(_) => Told::Unknown,
+            Outcome::Rejected(_) => Answer::NotAccepted,
+            Outcome::Unavailable(Verdict::NotRun) if before == Answer::Nothing => {
+                Answer::NotAccepted
+            }
+            Outcome::Unavailable(_) => Answer::Unknown,
             Outcome::StoreBehind => {
                 self.violation = Some("the store is behind an instance");
-                Told::Unknown
+                Answer::Unknown
             }
         };
-        self.operators[n].told = told;
+        self.operators[n].answer = answer;
         self.operators[n].waiting = false;
     }
 
     fn swap(&mut self, expected: HeadIndex, head: &Head) -> bool {
         let expected = match self.mutation {
-            Mutation::SwapBlind => self.store.index,
+            Mutation::UnconditionalSwap => self.store.index,
             _ => expected,
         };
         let done = self.store.swap(expected, head);
         if done {
-            self.committed(head);
+            self.record_commit(head);
         }
         done
     }
 
-    fn committed(&mut self, head: &Head) {
+    fn record_commit(&mut self, head: &Head) {
         let newest = self.history.last().unwrap().clone();
         match Chain::follow(newest.config(), head.clone()) {
             Ok(chain) if chain.version() > newest.version() => self.history.push(Arc::new(chain)),
--- a/crates/galenapath-config/tests/propose.rs
+++ b/crates/galenapath-config/tests/propose.rs
@@ -1,4 +1,4 @@
-//! Deciding on change requests.
+//! Tests of `propose`: which change requests are accepted, and the resulting sizes.
 
 #![expect(clippy::unwrap_used, reason = "helpers of tests fail as the tests do")]
 
@@ -10,59 +10,59 @@
 };
 use support::{accept, class, create, long_chain, remove, request, set_target};
 
-const SMALL: TailLimits = TailLimits { max_records: 4, page_records: 2 };
+const SMALL_LIMITS: TailLimits = TailLimits { max_records: 4, page_records: 2 };
 
-fn refusal(chain: &Chain, req: &galenapath_config::ChangeRequest) -> ChangeRejection {
+fn rejection(chain: &Chain, req: &galenapath_config::ChangeRequest) -> ChangeRejection {
     propose(chain, req, 0, TailLimits::DEFAULT).unwrap_err()
 }
 
 #[test]
-fn propose_race_names_newer_change() {
+fn propose_conflict_names_newer_change() {
     let chain = accept(&Chain::default(), &create("1", "maps"), TailLimits::DEFAULT);
     let first = accept(&chain, &set_target("2", 1, "maps", 20), TailLimits::DEFAULT);
     let newer = LastChange { revision: Version(2), id: ChangeId("2".into()) };
     let conflict = ChangeRejection::Conflict { class: "maps".into(), newer };
-    assert_eq!(refusal(&first, &set_target("3", 1, "maps", 30)), conflict);
+    assert_eq!(rejection(&first, &set_target("3", 1, "maps", 30)), conflict);
 }
 
 #[test]
 fn propose_same_id_already_accepted() {
     let req = create("1", "maps");
     let chain = accept(&Chain::default(), &req, TailLimits::DEFAULT);
-    assert_eq!(refusal(&chain, &req), ChangeRejection::AlreadyAccepted { version: Version(1) });
+    assert_eq!(rejection(&chain, &req), ChangeRejection::AlreadyAccepted { version: Version(1) });
 }
 
 #[test]
-fn propose_same_id_other_change_refused() {
+fn propose_same_id_other_change_rejected() {
     let chain = accept(&Chain::default(), &create("1", "maps"), TailLimits::DEFAULT);
     let req = set_target("1", 1, "maps", 30);
-    assert_eq!(refusal(&chain, &req), ChangeRejection::IdReused { version: Version(1) });
+    assert_eq!(rejection(&chain, &req), ChangeRejection::IdReused { version: Version(1) });
 }
 
 #[test]
-fn propose_removed_class_not_recreated_by_resend() {
-    let mut chain = accept(&Chain::default(), &create("1", "maps"), SMALL);
-    chain = accept(&chain, &remove("2", 1, "maps"), SMALL);
+fn propose_removed_class_not_recreated_by_retry() {
+    let mut chain = accept(&Chain::default(), &create("1", "maps"), SMALL_LIMITS);
+    chain = accept(&chain, &remove("2", 1, "maps"), SMALL_LIMITS);
     for n in 0..6 {
-        chain = accept(&chain, &create(&format!("other-{n}"), &format!("other-{n}")), SMALL);
+        chain = accept(&chain, &create(&format!("other-{n}"), &format!("other-{n}")), SMALL_LIMITS);
     }
     assert!(chain.head().find(&ChangeId("1".into())).is_none());
-    let resend = refusal(&chain, &create("1", "maps"));
-    assert_eq!(resend, ChangeRejection::BaseTooOld { class: "maps".into() });
+    let retry = rejection(&chain, &create("1", "maps"));
+    assert_eq!(retry, ChangeRejection::BaseTooOld { class: "maps".into() });
     let anew = request("9", 2, Change::CreateClass(class("maps", "/maps")));
-    assert!(propose(&chain, &anew, 0, SMALL).is_ok());
+    assert!(propose(&chain, &anew, 0, SMALL_LIMITS).is_ok());
 }
 
 #[test]
-fn propose_full_tail_is_cut() {
-    let chains = long_chain(9, SMALL);
-    let cuts: Vec<u64> = chains.iter().map(|chain| chain.head().snapshot().0).collect();
-    assert_eq!(cuts, [0, 0, 0, 0, 4, 4, 6, 6, 8, 8]);
-    assert!(chains.iter().all(|chain| chain.head().tail().len() <= SMALL.max_records));
+fn propose_full_tail_is_compacted() {
+    let chains = long_chain(9, SMALL_LIMITS);
+    let snapshots: Vec<u64> = chains.iter().map(|chain| chain.head().snapshot().0).collect();
+    assert_eq!(snapshots, [0, 0, 0, 0, 4, 4, 6, 6, 8, 8]);
+    assert!(chains.iter().all(|chain| chain.head().tail().len() <= SMALL_LIMITS.max_records));
 }
 
 #[test]
-fn propose_invalid_fields_refused() {
+fn propose_invalid_fields_rejected() {
     let chain = Chain::default();
     let bad = [
         Class { name: "a b".into(), ..class("x", "/x") },
@@ -72,21 +72,22 @@
     ];
     for class in bad {
         let req = request("1", 0, Change::CreateClass(class));
-        assert!(matches!(refusal(&chain, &req), ChangeRejection::Invalid(_)), "{req:?}");
+        assert!(matches!(rejection(&chain, &req), ChangeRejection::Invalid(_)), "{req:?}");
     }
-    let unknown = refusal(&chain, &set_target("1", 0, "maps", 30));
+    let unknown = rejection(&chain, &set_target("1", 0, "maps", 30));
     assert_eq!(unknown, ChangeRejection::NoSuchClass { class: "maps".into() });
 }
 
-/// Creates classes until one is refused; the number and the size of the last snapshot.
-fn fill(named: impl Fn(usize) -> Class) -> (usize, usize) {
+/// Creates classes until one is rejected as too large. Returns the number of classes and the size
+/// of the last snapshot.
+fn fill(new_class: impl Fn(usize) -> Class) -> (usize, usize) {
     let mut chain = Chain::default();
     for n in 0.. {
-        let req = request(&format!("{n:064}"), 0, Change::CreateClass(named(n)));
+        let req = request(&format!("{n:064}"), 0, Change::CreateClass(new_class(n)));
         match propose(&chain, &req, 0, TailLimits::DEFAULT) {
             Ok(proposal) => chain = Chain::follow(chain.config(), proposal.head).unwrap(),
             Err(ChangeRejection::TooLarge) => break,
-            Err(refusal) => panic!("{refusal}"),
+            Err(rejection) => panic!("{rejection}"),
         }
     }
     let classes = chain.config().classes().count();
--- a/crates/galenapath-config/tests/replica.rs
+++ b/crates/galenapath-config/tests/replica.rs
@@ -1,4 +1,4 @@
-//! Replicas under heads from any source in any order.
+//! Tests of replicas that receive heads from any source in any order, and of the stored encoding.
 
 #![expect(clippy::unwrap_used, reason = "helpers of tests fail as the tests do")]
 
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use support::{accept, create, long_chain, set_target};
 
-const SMALL: TailLimits = TailLimits { max_records: 4, page_records: 2 };
+const SMALL_LIMITS: TailLimits = TailLimits { max_records: 4, page_records: 2 };
 
 #[test]
 fn apply_older_is_stale() {
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn apply_gap_asks_for_snapshot() {
-    let chains = long_chain(9, SMALL);
+fn apply_gap_needs_snapshot() {
+    let chains = long_chain(9, SMALL_LIMITS);
     let mut replica = Replica::default();
     let head = chains[9].head().clone();
     assert_eq!(replica.apply(head.clone()), ApplyOutcome::Gap { snapshot: Version(8) });
@@ -48,9 +48,9 @@
     assert_eq!(replica.config(), one.config());
 }
 
-/// What a peer sends for one change, next to the whole configuration.
+/// The size of one change as sent by a peer, compared with the size of the whole configuration.
 #[test]
-fn extend_costs_the_changes_size() {
+fn extend_size_is_that_of_change() {
     let mut chain = Chain::default();
     for n in 0..1_400 {
         chain = accept(
@@ -69,13 +69,13 @@
 }
 
 proptest! {
-    /// Whatever heads arrive in whatever order, the version never goes down and the configuration
-    /// is the chain's at that version.
+    /// With any heads in any order, the version never decreases and the configuration is the
+    /// chain's at that version.
     #[test]
     fn apply_any_order_never_reverts(
         order in prop::collection::vec((0usize..20, any::<bool>()), 1..60),
     ) {
-        let chains = long_chain(19, SMALL);
+        let chains = long_chain(19, SMALL_LIMITS);
         let mut replica = Replica::default();
         for (at, with_config) in order {
             let before = replica.version();
@@ -92,42 +92,45 @@
         }
     }
 
-    /// Records alone lead to the very head that the store has, from any version on, also where some
-    /// of them are known.
+    /// Applying records to a replica at any version results in the same head as in the store, also
+    /// if the replica has some of the records already.
     #[test]
-    fn extend_any_range_gives_the_stores_head(from in 0usize..20, to in 0usize..20, back in 0u64..3) {
-        let chains = long_chain(19, SMALL);
+    fn extend_any_range_matches_stored_head(from in 0usize..20, to in 0usize..20, back in 0u64..3) {
+        let chains = long_chain(19, SMALL_LIMITS);
         let records: Vec<_> =
             chains.iter().map(|chain| chain.head().tail().last().unwrap().clone()).collect();
         let mut replica = Replica::default();
         replica.apply_from(chains[from].config(), chains[from].head().clone());
         let first = (from + 1).saturating_sub(back as usize);
         let offered = records.get(first..=to).unwrap_or_default();
-        let applied = replica.extend(offered, SMALL);
+        let applied = replica.extend(offered, SMALL_LIMITS);
         prop_assert_eq!(applied == ApplyOutcome::Stale, to <= from);
         prop_assert_eq!(replica.chain(), &chains[from.max(to)]);
         if to > from + 1 {
             let mut behind = Replica::default();
             behind.apply_from(chains[from].config(), chains[from].head().clone());
-            prop_assert_eq!(behind.extend(&records[from + 2..=to], SMALL), ApplyOutcome::Diverged);
+            prop_assert_eq!(
+                behind.extend(&records[from + 2..=to], SMALL_LIMITS),
+                ApplyOutcome::Diverged
+            );
             prop_assert_eq!(behind.chain(), &chains[from]);
         }
     }
 
-    /// What is written to the store reads back as it was.
+    /// Decoding an encoded value returns the original.
     #[test]
     fn encode_then_decode_is_same(changes in 0u64..20) {
-        let chain = long_chain(changes, SMALL).pop().unwrap();
+        let chain = long_chain(changes, SMALL_LIMITS).pop().unwrap();
         let head = decode_head(&encode_head(chain.head()).unwrap()).unwrap();
         prop_assert_eq!(&head, chain.head());
         let config = decode_snapshot(&encode_snapshot(chain.config()).unwrap()).unwrap();
         prop_assert_eq!(&config, &**chain.config());
     }
 
-    /// Bytes from a damaged store are an error, never a panic.
+    /// Damaged bytes never cause a panic, and truncated ones are an error.
     #[test]
-    fn decode_damaged_is_error(at in 0usize..400, byte in any::<u8>(), cut in 0usize..400) {
-        let chain = long_chain(3, SMALL).pop().unwrap();
+    fn decode_damaged_no_panic(at in 0usize..400, byte in any::<u8>(), cut in 0usize..400) {
+        let chain = long_chain(3, SMALL_LIMITS).pop().unwrap();
         let mut value = encode_head(chain.head()).unwrap();
         value[at] = byte;
         let _ = decode_head(&value);
--- a/crates/galenapath-config/tests/support/mod.rs
+++ b/crates/galenapath-config/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Shared builders.
+//! Builders of test data.
 
-#![allow(dead_code, reason = "each test binary uses some")]
+#![allow(dead_code, reason = "each test binary uses some of them")]
 
 use galenapath_config::{
     Chain, Change, ChangeId, ChangeRequest, Class, ClassKind, Share, TailLimits, Target, Version,
@@ -39,13 +39,14 @@
     request(id, base, Change::RemoveClass { class: name.into() })
 }
 
-/// The chain after `req`, which must be acceptable.
+/// Returns the chain after accepting `req`, which must be acceptable.
 pub fn accept(chain: &Chain, req: &ChangeRequest, limits: TailLimits) -> Chain {
     let proposal = propose(chain, req, 7, limits).unwrap();
     Chain::follow(chain.config(), proposal.head).unwrap()
 }
 
-/// A chain of `changes` target changes after the creation of class `lookup`.
+/// Returns the chains after the creation of the class `lookup` and after each of `changes` changes
+/// of its target.
 pub fn long_chain(changes: u64, limits: TailLimits) -> Vec<Chain> {
     let mut chains = vec![accept(&Chain::default(), &create("create", "lookup"), limits)];
     for n in 1..=changes {
