--- a/crates/galenapath-entry/src/control/configuration.rs
+++ b/crates/galenapath-entry/src/control/configuration.rs
@@ -2,7 +2,7 @@
 
 use super::plane::ControlPlane;
 use galenapath_config::{
-    Applied, AuditPage, Config, HEAD_KEY, Head, Limits, Version, decode_head, decode_page,
+    ApplyOutcome, AuditPage, Config, HEAD_KEY, Head, TailLimits, Version, decode_head, decode_page,
     decode_snapshot, encode_head, encode_page, encode_snapshot, snapshot_key,
 };
 use galenapath_peers::{ConfigWire, PeerCall};
@@ -93,7 +93,7 @@
 async fn apply_head(plane: &ControlPlane, head: Head) {
     let applied = plane.replica.borrow_mut().apply(head.clone());
     match applied {
-        Applied::Gap { snapshot } => {
+        ApplyOutcome::Gap { snapshot } => {
             let Some(config) = read_snapshot(plane, snapshot).await else { return };
             let applied = plane.replica.borrow_mut().apply_from(&config, head);
             handle_applied(plane, &applied);
@@ -117,11 +117,11 @@
 }
 
 /// Publishes the configuration if the replica advanced, and reports a diverged configuration.
-pub(super) fn handle_applied(plane: &ControlPlane, applied: &Applied) {
+pub(super) fn handle_applied(plane: &ControlPlane, applied: &ApplyOutcome) {
     match applied {
-        Applied::Advanced { .. } => plane.publish_config(),
-        Applied::Stale | Applied::Gap { .. } => {}
-        Applied::Diverged => {
+        ApplyOutcome::Advanced { .. } => plane.publish_config(),
+        ApplyOutcome::Stale | ApplyOutcome::Gap { .. } => {}
+        ApplyOutcome::Diverged => {
             log::error!("a received configuration contradicts the one in force");
             plane.shared.metrics.count_fault("configuration_diverged");
         }
@@ -145,10 +145,10 @@
 }
 
 /// Applies a configuration document from a peer; `None` if it cannot be decoded.
-fn apply_document(plane: &ControlPlane, wire: &ConfigWire) -> Option<Applied> {
+fn apply_document(plane: &ControlPlane, wire: &ConfigWire) -> Option<ApplyOutcome> {
     if let Some(records) = &wire.records {
         let page = decode_page(records.as_bytes()).ok()?;
-        return Some(plane.replica.borrow_mut().extend(&page.records, Limits::DEFAULT));
+        return Some(plane.replica.borrow_mut().extend(&page.records, TailLimits::DEFAULT));
     }
     let head = decode_head(wire.head.as_ref()?.as_bytes()).ok()?;
     let config = decode_snapshot(wire.snapshot.as_ref()?.as_bytes()).ok()?;
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -13,7 +13,7 @@
 use galenapath_policy::{RetryBudget, RetryConfig, SharedRetryBudget};
 use galenapath_protocol::{BackendId, DomainId, FastMap, Micros, hash64};
 use galenapath_routes::{ServerRecord, ServerState, ServiceSpec};
-use galenapath_settings::RetryAllowance;
+use galenapath_settings::RetrySettings;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -355,7 +355,7 @@
 }
 
 /// The retry budget of an instance that serves `share` of all requests.
-fn retry_config(allowance: &RetryAllowance, share: f64) -> RetryConfig {
-    let RetryAllowance { ratio, slack, window } = *allowance;
+fn retry_config(allowance: &RetrySettings, share: f64) -> RetryConfig {
+    let RetrySettings { ratio, slack, window } = *allowance;
     SharedRetryBudget { ratio, slack, window: window.into() }.for_share(share)
 }
