--- a/crates/galenapath-dev/src/backend/admin.rs
+++ b/crates/galenapath-dev/src/backend/admin.rs
@@ -1,4 +1,4 @@
-//! Counters and faults over HTTP, for tests.
+//! HTTP interface through which tests read counters and set faults.
 
 use super::counters::{Counters, KeyCounts};
 use super::faults::FaultsChange;
@@ -10,10 +10,10 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Largest body of an operation.
+/// Largest request body in bytes.
 const BODY_LIMIT: usize = 64 * 1024;
 
-/// What the operations act on.
+/// State that the operations read and change.
 pub struct Admin {
     /// All servers of the process.
     pub servers: Vec<Rc<Server>>,
@@ -26,7 +26,7 @@
     server: String,
     service: String,
     leaving: bool,
-    /// Requests that run or wait now.
+    /// Requests running or queued.
     running: usize,
     #[serde(flatten)]
     counters: Counters,
@@ -46,18 +46,18 @@
 
 type Reply = (StatusCode, String);
 
-/// Serves operations for ever.
+/// Serves operations; never returns.
 pub async fn serve(admin: Rc<Admin>, listener: TcpListener) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
             let admin = Rc::clone(&admin);
-            monoio::spawn(async move { admin.connection(Conn::new(stream)).await });
+            monoio::spawn(async move { admin.serve_connection(Conn::new(stream)).await });
         }
     }
 }
 
 impl Admin {
-    async fn connection(&self, mut conn: Conn) -> Result<(), WireError> {
+    async fn serve_connection(&self, mut conn: Conn) -> Result<(), WireError> {
         loop {
             let head = conn.read_request().await?;
             let body = conn.read_body(&mut Framing::of_request(&head.headers), BODY_LIMIT).await?;
@@ -74,11 +74,15 @@
             "GET /healthz" => (StatusCode::OK, "{}".to_owned()),
             "GET /admin/counters" => (StatusCode::OK, self.counters()),
             "GET /admin/executions" => (StatusCode::OK, self.executions(query)),
-            "PUT /admin/faults" => self.change(body, |change: &FaultsChange, server| {
+            "PUT /admin/faults" => self.apply_to_servers(body, |change: &FaultsChange, server| {
                 server.faults.borrow_mut().apply(change);
             }),
-            "PUT /admin/drain" => self.change(body, |_: &ServerName, server| server.leave()),
-            "PUT /admin/crash" => self.change(body, |_: &ServerName, server| server.crash_now()),
+            "PUT /admin/drain" => {
+                self.apply_to_servers(body, |_: &ServerName, server| server.begin_leaving())
+            }
+            "PUT /admin/crash" => {
+                self.apply_to_servers(body, |_: &ServerName, server| server.crash_now())
+            }
             _ => (StatusCode::NOT_FOUND, "{\"error\":\"no such operation\"}".to_owned()),
         }
     }
@@ -106,9 +110,9 @@
         serde_json::json!({ "executions": count }).to_string()
     }
 
-    fn change<C>(&self, body: &[u8], apply: impl Fn(&C, &Server)) -> Reply
+    fn apply_to_servers<C>(&self, body: &[u8], apply: impl Fn(&C, &Server)) -> Reply
     where
-        C: for<'de> Deserialize<'de> + NamesServer,
+        C: for<'de> Deserialize<'de> + HasTarget,
     {
         let change: C = match serde_json::from_slice(body) {
             Ok(change) => change,
@@ -129,18 +133,18 @@
     }
 }
 
-/// A body that may name the one server that it is for.
-trait NamesServer {
+/// A request body that may name the one server that it applies to.
+trait HasTarget {
     fn server(&self) -> Option<&str>;
 }
 
-impl NamesServer for FaultsChange {
+impl HasTarget for FaultsChange {
     fn server(&self) -> Option<&str> {
         self.server.as_deref()
     }
 }
 
-impl NamesServer for ServerName {
+impl HasTarget for ServerName {
     fn server(&self) -> Option<&str> {
         self.server.as_deref()
     }
--- a/crates/galenapath-dev/src/backend/body.rs
+++ b/crates/galenapath-dev/src/backend/body.rs
@@ -1,11 +1,11 @@
-//! Bodies that show which request they belong to.
+//! Body patterns derived from the request, so that a reader can detect a foreign or damaged body.
 
 use bytes::Bytes;
 use galenapath_protocol::hash64;
 
-/// Largest part of a body that is made at once, in bytes; a multiple of the word.
+/// Largest part of a body that is generated at once, in bytes; a multiple of [`WORD_LEN`].
 const PART_LEN: u64 = 64 * 1024;
-/// Length of a word of the pattern in bytes.
+/// Length of a word of the pattern, in bytes.
 const WORD_LEN: u64 = 8;
 
 /// Seed of the pattern that answers a request for `path` (with its query).
@@ -18,7 +18,7 @@
     seed.wrapping_add(index)
 }
 
-/// The pattern's bytes from `offset` on, so that a reader may check parts of any length.
+/// `len` bytes of the pattern from `offset` on, so that a reader can check parts of any length.
 pub fn pattern_bytes(seed: u64, offset: u64, len: usize) -> Vec<u8> {
     let first = offset / WORD_LEN;
     let skipped = (offset % WORD_LEN) as usize;
@@ -32,7 +32,7 @@
     buf
 }
 
-/// The pattern's bytes, made part by part.
+/// Iterator that generates the pattern part by part.
 pub struct Pattern {
     seed: u64,
     offset: u64,
@@ -40,7 +40,7 @@
 }
 
 impl Pattern {
-    /// A body of `len` bytes.
+    /// Creates a pattern of `len` bytes.
     pub const fn new(seed: u64, len: u64) -> Self {
         Self { seed, offset: 0, len }
     }
--- a/crates/galenapath-dev/src/backend/connection.rs
+++ b/crates/galenapath-dev/src/backend/connection.rs
@@ -1,7 +1,7 @@
-//! One caller's connection: reads requests, runs them in slots, answers.
+//! Serves one connection: reads requests, runs them in slots and answers them.
 
-use super::answer::{self, After};
-use super::server::{Server, wait};
+use super::answer::{self, ConnectionAction};
+use super::server::{Server, sleep_nonzero};
 use super::slots::{Full, SlotGuard};
 use crate::wire::{Conn, Framing, WireError};
 use futures::future::{Either, select};
@@ -13,23 +13,23 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Answers with the load report alone; takes no slot.
+/// Path of load queries, which are answered with the load report alone and take no slot.
 pub const PROBE_PATH: &str = "/.well-known/load";
 
-/// Largest body of a request.
+/// Largest request body in bytes.
 const BODY_LIMIT: usize = 64 * 1024 * 1024;
-/// Deadline of a request that names none.
+/// Deadline of a request that states none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(600);
 
-/// A request as the stand-in sees it.
+/// A request with the fields that the stand-in uses.
 pub struct Job {
-    /// Its head.
+    /// Request head.
     pub head: RequestHead,
     /// Path with query.
     pub path: String,
-    /// Idempotency key, empty where there is none.
+    /// Idempotency key; empty if there is none.
     pub key: String,
-    /// Hash of its body.
+    /// Hash of the request body.
     pub body_hash: u64,
     deadline: Instant,
 }
@@ -40,18 +40,19 @@
         let began = Instant::now();
         let body = conn.read_body(&mut Framing::of_request(&head.headers), BODY_LIMIT).await?;
         let text = |name| head.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("");
-        let limit = text(DEADLINE_HEADER).parse().map_or(DEFAULT_DEADLINE, Duration::from_millis);
+        let time_limit =
+            text(DEADLINE_HEADER).parse().map_or(DEFAULT_DEADLINE, Duration::from_millis);
         Ok(Self {
             path: head.uri.path_and_query().map_or("/", |p| p.as_str()).to_owned(),
             key: text(IDEMPOTENCY_KEY_HEADER).to_owned(),
             body_hash: hash64(0, &body),
-            deadline: began + limit,
+            deadline: began + time_limit,
             head,
         })
     }
 
-    /// A number in the query, such as `bytes=65536` or `work_ms=20`.
-    pub fn number(&self, name: &str) -> Option<u64> {
+    /// Returns a numeric query parameter, such as `bytes=65536` or `work_ms=20`.
+    pub fn query_number(&self, name: &str) -> Option<u64> {
         let query = self.head.uri.query()?;
         let field = query.split('&').find_map(|field| field.strip_prefix(name));
         field?.strip_prefix('=')?.parse().ok()
@@ -62,8 +63,8 @@
     }
 }
 
-/// How a step of a request ended.
-enum Step<T> {
+/// How one step of a request ended.
+enum StepResult<T> {
     Done(T),
     /// The caller closed its connection.
     Cancelled,
@@ -73,39 +74,43 @@
 
 /// Serves `conn` until either side closes it.
 pub async fn serve(mut conn: Conn, server: &Rc<Server>) -> Result<(), WireError> {
-    server.open_connection().await;
+    server.apply_accept_time().await;
     loop {
         let job = Job::read(&mut conn).await?;
-        server.thaw().await;
-        server.pass_way().await;
-        let after = if job.head.uri.path() == PROBE_PATH {
+        server.wait_while_frozen().await;
+        server.apply_delay().await;
+        let action = if job.head.uri.path() == PROBE_PATH {
             count_probe(server);
-            answer::report_only(&mut conn, server).await?
+            answer::send_report(&mut conn, server).await?
         } else {
             run(&mut conn, server, &job).await?
         };
-        match after {
-            After::Close => return Ok(()),
-            After::KeepAlive => {}
+        match action {
+            ConnectionAction::Close => return Ok(()),
+            ConnectionAction::KeepAlive => {}
         }
     }
 }
 
-async fn run(conn: &mut Conn, server: &Rc<Server>, job: &Job) -> Result<After, WireError> {
+async fn run(
+    conn: &mut Conn,
+    server: &Rc<Server>,
+    job: &Job,
+) -> Result<ConnectionAction, WireError> {
     count_request(server);
     if server.faults.borrow().fail_fast {
-        return answer::failed(conn, server).await;
+        return answer::send_failure(conn, server).await;
     }
-    let guard = match bounded(conn, job, server.slots.acquire()).await {
-        Step::Done(Ok(guard)) => guard,
-        Step::Done(Err(Full)) => {
+    let guard = match run_until_deadline(conn, job, server.slots.acquire()).await {
+        StepResult::Done(Ok(guard)) => guard,
+        StepResult::Done(Err(Full)) => {
             server.counters.borrow_mut().shed += 1;
-            return answer::shed(conn, server).await;
+            return answer::send_shed(conn, server).await;
         }
-        Step::Cancelled => return Ok(cancelled(server)),
-        Step::Expired => {
+        StepResult::Cancelled => return Ok(cancelled(server)),
+        StepResult::Expired => {
             server.counters.borrow_mut().expired += 1;
-            return answer::expired(conn, server, true).await;
+            return answer::send_expired(conn, server, true).await;
         }
     };
     work(conn, server, job, guard).await
@@ -116,35 +121,39 @@
     server: &Rc<Server>,
     job: &Job,
     guard: SlotGuard,
-) -> Result<After, WireError> {
+) -> Result<ConnectionAction, WireError> {
     count_execution(server, job);
-    let time = server.work_time(job.number("work_ms"));
-    if is_marked(server, job) {
-        wait(time).await;
+    let time = server.work_time(job.query_number("work_ms"));
+    if crashes_server(server, job) {
+        sleep_nonzero(time).await;
         server.crash_now();
-        return Ok(After::Close);
+        return Ok(ConnectionAction::Close);
     }
-    match bounded(conn, job, wait(time)).await {
-        Step::Done(()) => {}
-        Step::Cancelled => return Ok(cancelled(server)),
-        Step::Expired => {
+    match run_until_deadline(conn, job, sleep_nonzero(time)).await {
+        StepResult::Done(()) => {}
+        StepResult::Cancelled => return Ok(cancelled(server)),
+        StepResult::Expired => {
             server.counters.borrow_mut().expired += 1;
-            return answer::expired(conn, server, false).await;
+            return answer::send_expired(conn, server, false).await;
         }
     }
-    server.thaw().await;
-    answer::whole(conn, server, job, guard).await
+    server.wait_while_frozen().await;
+    answer::send_success(conn, server, job, guard).await
 }
 
-/// Runs `step` until it is done, the caller goes away or the deadline passes.
-async fn bounded<T>(conn: &mut Conn, job: &Job, step: impl Future<Output = T>) -> Step<T> {
+/// Runs `step` until it completes, the caller closes the connection or the deadline passes.
+async fn run_until_deadline<T>(
+    conn: &mut Conn,
+    job: &Job,
+    step: impl Future<Output = T>,
+) -> StepResult<T> {
     let step = pin!(step);
     let closed = pin!(conn.closed());
     let expired = pin!(sleep(job.time_left()));
     match select(step, select(closed, expired)).await {
-        Either::Left((value, _)) => Step::Done(value),
-        Either::Right((Either::Left(_), _)) => Step::Cancelled,
-        Either::Right((Either::Right(_), _)) => Step::Expired,
+        Either::Left((value, _)) => StepResult::Done(value),
+        Either::Right((Either::Left(_), _)) => StepResult::Cancelled,
+        Either::Right((Either::Right(_), _)) => StepResult::Expired,
     }
 }
 
@@ -169,17 +178,18 @@
         server.keys.borrow_mut().record(&job.key);
     }
     if let Some(mut log) = server.log.as_deref() {
-        // One write per line, so that a kill leaves whole lines; a full disk fails the test later.
+        // One write per line leaves only whole lines in the file when the process is killed. An error
+        // is ignored: if the disk is full, the test fails on the missing lines.
         let line = format!("{}\t{}\t{}\n", server.spec.name, job.key, job.path);
         let _ = log.write_all(line.as_bytes());
     }
 }
 
-fn cancelled(server: &Server) -> After {
+fn cancelled(server: &Server) -> ConnectionAction {
     server.counters.borrow_mut().cancelled += 1;
-    After::Close
+    ConnectionAction::Close
 }
 
-fn is_marked(server: &Server, job: &Job) -> bool {
+fn crashes_server(server: &Server, job: &Job) -> bool {
     server.faults.borrow().crash_on.as_ref().is_some_and(|marker| job.path.contains(marker))
 }
--- a/crates/galenapath-dev/src/backend/counters.rs
+++ b/crates/galenapath-dev/src/backend/counters.rs
@@ -1,4 +1,4 @@
-//! What a server did, counted where it happened.
+//! Counters of what the servers did.
 
 use galenapath_protocol::FastMap;
 use serde::{Deserialize, Serialize};
@@ -14,31 +14,32 @@
     pub connections_open: u64,
     /// Most connections open at the same time.
     pub connections_most: u64,
-    /// Connections closed at once, since the server has as many as it takes.
+    /// Connections closed on accept, because the connection limit was reached.
     pub connections_refused: u64,
-    /// Requests read, probes not among them.
+    /// Requests read, without load queries.
     pub requests: u64,
-    /// Requests that got a slot and began to work.
+    /// Requests that got a slot and started to run.
     pub executions: u64,
-    /// Requests that were answered whole.
+    /// Requests that ran to completion and were answered.
     pub answered: u64,
-    /// Requests turned away without running.
+    /// Requests rejected without running, because the queue was full.
     pub shed: u64,
-    /// Requests given up since the caller closed its connection.
+    /// Requests aborted because the caller closed its connection.
     pub cancelled: u64,
-    /// Requests given up since their deadline passed.
+    /// Requests aborted because their deadline passed.
     pub expired: u64,
-    /// Requests for a load report.
+    /// Load queries.
     pub probes: u64,
-    /// Most requests for a load report within one second.
+    /// Most load queries within one second.
     pub probes_a_second_most: u64,
-    /// Crashes by a marked request.
+    /// Crashes, by a request that matches [`crash_on`](super::Faults::crash_on) or by
+    /// `PUT /admin/crash`.
     pub crashes: u64,
-    /// Time from the start of leaving to the last request read since, in milliseconds.
+    /// Time from the start of leaving to the last request read after it, in milliseconds.
     pub last_request_after_leaving_ms: Option<u64>,
 }
 
-/// The most events that fell into one second.
+/// Counts the events of the last second.
 #[derive(Default)]
 pub struct PeakRate {
     /// Events of the last second, oldest first.
@@ -46,8 +47,8 @@
 }
 
 impl PeakRate {
-    /// Takes an event at `now`; gives the number of events in the second before it, this one
-    /// included.
+    /// Records an event at `now` and returns the number of events in the second up to and
+    /// including it.
     pub fn record(&mut self, now: Instant) -> u64 {
         self.recent.push_back(now);
         while self.recent.front().is_some_and(|at| now - *at >= Duration::from_secs(1)) {
@@ -64,7 +65,7 @@
 }
 
 impl KeyCounts {
-    /// Counts an execution of `key`.
+    /// Records an execution of `key`.
     pub fn record(&mut self, key: &str) {
         match self.counts.get_mut(key) {
             Some(count) => *count += 1,
@@ -74,22 +75,22 @@
         }
     }
 
-    /// Executions of `key`.
+    /// Returns the number of executions of `key`.
     pub fn executions(&self, key: &str) -> u32 {
         self.counts.get(key).copied().unwrap_or(0)
     }
 
-    /// Number of keys that ran at least once.
+    /// Returns the number of keys that were executed.
     pub fn len(&self) -> usize {
         self.counts.len()
     }
 
-    /// Whether no key ran.
+    /// Returns whether no key was executed.
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
 
-    /// Keys that ran more than once, in order.
+    /// Returns the keys that were executed more than once, sorted.
     pub fn repeated(&self) -> Vec<String> {
         let mut keys: Vec<_> =
             self.counts.iter().filter(|(_, n)| **n > 1).map(|(key, _)| key.clone()).collect();
--- a/crates/galenapath-dev/src/backend/faults.rs
+++ b/crates/galenapath-dev/src/backend/faults.rs
@@ -1,38 +1,38 @@
-//! Faults that a test switches on while the server runs.
+//! Faults that a test sets while the server runs.
 
 use serde::Deserialize;
 
-/// What is wrong with a server at the moment. The default is a healthy server.
+/// Faults of a server. The default is a healthy server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Faults {
-    /// Work takes this many times as long; 1 on a healthy server.
+    /// Factor by which work takes longer; 1 on a healthy server.
     pub straggle_factor: f64,
-    /// Nothing is read, run or answered until this is cleared.
+    /// Nothing is read, run or answered while this is set.
     pub freeze: bool,
-    /// Every request fails at once with status 500.
+    /// Every request fails immediately with status 500.
     pub fail_fast: bool,
-    /// Answers are bytes that are no HTTP.
+    /// Answers are bytes that are not valid HTTP.
     pub garbage: bool,
     /// Answers carry more bytes than their head declares.
     pub too_much: bool,
-    /// Answers stop half-way and the connection closes.
+    /// Answers stop after half of the body and the connection closes.
     pub stop_halfway: bool,
     /// A request whose path contains this text crashes the server while it runs.
     pub crash_on: Option<String>,
-    /// What the load reports say.
+    /// Fault of the load reports.
     pub reports: ReportFault,
 }
 
-/// What is wrong with a server's load reports.
+/// Fault of a server's load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportFault {
-    /// Nothing.
+    /// Reports are correct.
     #[default]
     None,
-    /// They say that the server is idle.
+    /// Reports show an idle server.
     Lie,
-    /// They are a second old.
+    /// Reports are one second old.
     Late,
 }
 
@@ -51,11 +51,11 @@
     }
 }
 
-/// Body of `PUT /admin/faults`: faults that are left out stay as they are.
+/// Body of `PUT /admin/faults`. Omitted faults keep their values.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultsChange {
-    /// Name of the server; every server of the process where it is missing.
+    /// Name of the server; all servers of the process if omitted.
     pub server: Option<String>,
     /// See [`Faults::straggle_factor`].
     pub straggle_factor: Option<f64>,
@@ -69,7 +69,7 @@
     pub too_much: Option<bool>,
     /// See [`Faults::stop_halfway`].
     pub stop_halfway: Option<bool>,
-    /// See [`Faults::crash_on`]; empty clears it.
+    /// See [`Faults::crash_on`]; an empty text clears it.
     pub crash_on: Option<String>,
     /// See [`Faults::reports`].
     pub reports: Option<ReportFault>,
--- a/crates/galenapath-dev/src/backend/mod.rs
+++ b/crates/galenapath-dev/src/backend/mod.rs
@@ -1,7 +1,8 @@
-//! Stand-in of a backend server.
+//! Stand-in for backend servers.
 //!
-//! One process serves any number of them, each with its own address, slots, connections and
-//! faults. It counts what it ran, so that a test can compare that with what callers were told.
+//! One process serves any number of servers, each with its own address, slots, connections and
+//! faults. It counts the requests that it ran, so that a test can compare them with the results
+//! that callers received.
 
 mod admin;
 mod answer;
--- a/crates/galenapath-dev/src/backend/options.rs
+++ b/crates/galenapath-dev/src/backend/options.rs
@@ -8,51 +8,51 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Serves stand-ins of backend servers, many in one process.
+/// Runs stand-ins for backend servers, any number in one process.
 #[derive(Clone, Debug, Parser)]
 pub struct Options {
     /// A server: `name=…,service=…,domain=…[,listen=ADDR]
     /// [,advertise=ADDR][,work=…][,delay=…]`; repeat for more.
     #[arg(long = "server", required = true)]
     pub servers: Vec<ServerSpec>,
-    /// Address of the platform's service to register with.
+    /// Address of the platform's service registry to register with.
     #[arg(long)]
     pub store: Option<SocketAddr>,
-    /// Address for counters and faults.
+    /// Address of the HTTP interface for counters and faults.
     #[arg(long, default_value = "127.0.0.1:0")]
     pub admin: SocketAddr,
-    /// Work time of a request unless the server or the request's `work_ms` says otherwise.
+    /// Work time of a request, unless the server's `work` or the request's `work_ms` overrides it.
     #[arg(long, default_value = "constant:5")]
     pub work: Work,
-    /// Requests that a server runs at once.
+    /// Requests that a server runs concurrently.
     #[arg(long, default_value_t = 6)]
     pub slots: usize,
-    /// Requests that may wait for a slot before a server sheds.
+    /// Requests that may wait for a slot; a server rejects further ones.
     #[arg(long, default_value_t = 12)]
     pub room: usize,
-    /// Connections that a server takes; more are closed at once.
+    /// Connections that a server accepts; further ones are closed on accept.
     #[arg(long, default_value_t = 240)]
     pub connections: u64,
-    /// Time that a new connection takes before its first request is read.
+    /// Time from accepting a connection until its first request is read.
     #[arg(long, default_value = "1ms", value_parser = humantime::parse_duration)]
     pub accept_time: Duration,
     /// Simulated one-way delay between callers and a server.
     #[arg(long, default_value = "0ms", value_parser = humantime::parse_duration)]
     pub delay: Duration,
-    /// Time after a start during which work is slower.
+    /// Time after a start or restart during which work is slower.
     #[arg(long, default_value = "0ms", value_parser = humantime::parse_duration)]
     pub cold_start: Duration,
-    /// Time that a crashed server stays away.
+    /// Time from a crash until the server restarts.
     #[arg(long, default_value = "2s", value_parser = humantime::parse_duration)]
     pub restart_after: Duration,
-    /// Least time between the announcement that a server leaves and its end.
+    /// Shortest time from the announcement that a server is leaving until it stops.
     #[arg(long, default_value = "4s", value_parser = humantime::parse_duration)]
     pub leave_after: Duration,
-    /// File to which a line `SERVER KEY PATH` is added when a request begins to run; it tells what
-    /// ran even after the process is killed.
+    /// File to which a line `SERVER KEY PATH` is appended when a request starts to run; it records
+    /// the executions even if the process is killed.
     #[arg(long)]
     pub executions: Option<PathBuf>,
-    /// Seed of the work times.
+    /// Seed of the random work times.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
@@ -60,30 +60,30 @@
 /// One server of the process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerSpec {
-    /// Name in the platform's list.
+    /// Name in the platform's list of instances.
     pub name: String,
-    /// Service that it belongs to.
+    /// Service that the server belongs to.
     pub service: String,
-    /// Failure domain that it runs in.
+    /// Failure domain that the server runs in.
     pub domain: String,
-    /// Address that it listens on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Address in the platform's list, where that is not the one it listens on.
+    /// Address to register with the platform, if it differs from the one listened on.
     pub advertise: Option<SocketAddr>,
-    /// Its own work time.
+    /// Work time; overrides [`Options::work`].
     pub work: Option<Work>,
-    /// Its own one-way delay.
+    /// One-way delay; overrides [`Options::delay`].
     pub delay: Option<Duration>,
 }
 
-/// Why a text describes no server.
+/// Error of parsing a [`ServerSpec`].
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ParseSpecError {
     /// A field is missing.
-    #[error("server has no `{0}`")]
+    #[error("server specification has no `{0}`")]
     Missing(&'static str),
     /// A field is unknown or its value cannot be read.
-    #[error("server has a bad field `{0}`")]
+    #[error("server specification has an invalid field `{0}`")]
     BadField(String),
 }
 
--- a/crates/galenapath-dev/src/backend/process.rs
+++ b/crates/galenapath-dev/src/backend/process.rs
@@ -1,4 +1,4 @@
-//! The process: binds everything, then serves until it is told to leave.
+//! The process of the stand-ins: binds all addresses, then serves until it is stopped.
 
 use super::admin::{self, Admin};
 use super::options::Options;
@@ -16,10 +16,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How often the process looks whether it shall leave and whether it has.
-const LEAVE_POLL: Duration = Duration::from_millis(20);
+/// Interval of checks for the stop flag and for the end of the running requests.
+const STOP_POLL: Duration = Duration::from_millis(20);
 
-fn open_log(path: &Path) -> io::Result<Rc<File>> {
+fn open_execution_log(path: &Path) -> io::Result<Rc<File>> {
     OpenOptions::new().create(true).append(true).open(path).map(Rc::new)
 }
 
@@ -39,7 +39,7 @@
     pub fn start(opts: Options) -> io::Result<Self> {
         let opts = Rc::new(opts);
         let keys = Rc::default();
-        let log = opts.executions.as_deref().map(open_log).transpose()?;
+        let log = opts.executions.as_deref().map(open_execution_log).transpose()?;
         let mut servers = Vec::new();
         for spec in &opts.servers {
             let listener = TcpListener::bind(spec.listen)?;
@@ -59,21 +59,21 @@
         Ok(Self { opts, servers, admin })
     }
 
-    /// Name and address of each server, then of the admin interface.
+    /// Returns name and address of each server, then of the admin interface.
     pub fn addresses(&self) -> impl Iterator<Item = (&str, SocketAddr)> {
         let servers = self.servers.iter().map(|server| (server.spec.name.as_str(), server.addr));
         servers.chain([("admin", self.admin)])
     }
 
-    /// Serves until `stop` is set, then announces that the servers leave, finishes what runs and
-    /// returns.
+    /// Serves until `stop` is set, then announces that the servers are leaving, finishes the running
+    /// requests, deregisters the servers and returns.
     pub async fn run(self, stop: Arc<AtomicBool>) {
         while !stop.load(Ordering::Relaxed) {
-            sleep(LEAVE_POLL).await;
+            sleep(STOP_POLL).await;
         }
-        self.servers.iter().for_each(|server| server.leave());
+        self.servers.iter().for_each(|server| server.begin_leaving());
         while !self.servers.iter().all(|server| server.has_left()) {
-            sleep(LEAVE_POLL).await;
+            sleep(STOP_POLL).await;
         }
         if let Some(store) = self.opts.store {
             join_all(self.servers.iter().map(|server| deregister(server, store))).await;
--- a/crates/galenapath-dev/src/backend/registration.rs
+++ b/crates/galenapath-dev/src/backend/registration.rs
@@ -1,4 +1,4 @@
-//! Keeps a server in the platform's list.
+//! Registers a server with the platform and keeps the registration current.
 
 use super::server::Server;
 use crate::wire::exchange;
@@ -7,23 +7,25 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often the state is compared with what the platform was last told.
-const CHECK_EVERY: Duration = Duration::from_millis(50);
-/// How often an unchanged state is told again, in case the platform forgot it.
-const RENEW_EVERY: Duration = Duration::from_secs(5);
-/// Longest wait for the platform.
+/// Interval at which the server's state is compared with the one last registered.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which an unchanged state is registered again, in case the platform lost it.
+const RENEW_INTERVAL: Duration = Duration::from_secs(5);
+/// Time-out of a call to the platform.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Tells `store` the server's state at the start, at each change and now and then.
+/// Registers the server's state with `store` at the start, at each change and every
+/// [`RENEW_INTERVAL`].
 pub async fn keep_registered(server: Rc<Server>, store: SocketAddr) {
-    let mut told: Option<(bool, Instant)> = None;
+    let mut registered: Option<(bool, Instant)> = None;
     loop {
         let leaving = server.leaving.get().is_some();
-        let current = told.is_some_and(|(l, at)| l == leaving && at.elapsed() < RENEW_EVERY);
-        if !current && register(&server, store, leaving).await {
-            told = Some((leaving, Instant::now()));
+        let is_current =
+            registered.is_some_and(|(l, at)| l == leaving && at.elapsed() < RENEW_INTERVAL);
+        if !is_current && register(&server, store, leaving).await {
+            registered = Some((leaving, Instant::now()));
         }
-        sleep(CHECK_EVERY).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
@@ -45,7 +47,7 @@
     put(store, "/v1/agent/service/register", body.as_bytes()).await
 }
 
-/// Takes the server out of the platform's list.
+/// Removes the server from the platform's list.
 pub async fn deregister(server: &Server, store: SocketAddr) -> bool {
     put(store, &format!("/v1/agent/service/deregister/{}", server.spec.name), b"").await
 }
--- a/crates/galenapath-dev/src/backend/server.rs
+++ b/crates/galenapath-dev/src/backend/server.rs
@@ -22,39 +22,39 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How often a frozen server looks whether it has been thawed.
-const THAW_POLL: Duration = Duration::from_millis(2);
-/// Age that a late load report reaches before it is renewed.
+/// Interval at which a frozen server checks whether the fault was cleared.
+const FREEZE_POLL: Duration = Duration::from_millis(2);
+/// Age at which a load report delayed by [`ReportFault::Late`] is replaced.
 const LATE_REPORT_AGE: Duration = Duration::from_secs(1);
-/// Work takes this many times as long right after a start; the factor falls to 1 in a straight line.
+/// Factor by which work takes longer right after a start; it falls linearly to 1.
 const COLD_FACTOR: f64 = 3.0;
 
-/// Ends every connection of a server when it is sent.
+/// Completes when the server crashes; ends its listener and connections.
 type Crash = Shared<oneshot::Receiver<()>>;
 
-/// A backend server of this process.
+/// One backend server of this process.
 pub struct Server {
-    /// As given on the command line.
+    /// Specification from the command line.
     pub spec: ServerSpec,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub addr: SocketAddr,
-    /// Its slots.
+    /// Concurrency slots.
     pub slots: Rc<Slots>,
-    /// What is wrong with it.
+    /// Faults in force.
     pub faults: RefCell<Faults>,
-    /// What it did.
+    /// Counters of this server.
     pub counters: RefCell<Counters>,
-    /// Probes of the last second.
+    /// Load queries of the last second.
     pub probe_rate: RefCell<PeakRate>,
     /// Executions per key, shared by all servers of the process.
     pub keys: Rc<RefCell<KeyCounts>>,
-    /// Where executions are written, if anywhere; shared likewise.
+    /// File to which executions are written, if any; shared by all servers of the process.
     pub log: Option<Rc<File>>,
-    /// Start of the process's run, milliseconds since the Unix epoch.
+    /// Start of the process run, in milliseconds since the Unix epoch.
     pub started_ms: u128,
-    /// One-way delay.
+    /// Simulated one-way delay between callers and this server.
     pub delay: Duration,
-    /// When it began to leave.
+    /// Time at which the server began to leave.
     pub leaving: Cell<Option<Instant>>,
     opts: Rc<Options>,
     rng: RefCell<StdRng>,
@@ -64,7 +64,7 @@
 }
 
 impl Server {
-    /// A healthy server that listens on `addr`.
+    /// Creates a healthy server that listens on `addr`.
     pub fn new(
         spec: ServerSpec,
         addr: SocketAddr,
@@ -94,7 +94,7 @@
         })
     }
 
-    /// Serves for ever; starts again some time after each crash.
+    /// Serves connections and restarts [`Options::restart_after`] after each crash; never returns.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let mut listener = Some(listener);
         loop {
@@ -114,10 +114,10 @@
     async fn accept(self: &Rc<Self>, listener: TcpListener, crash: Crash) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(THAW_POLL).await;
+                sleep(FREEZE_POLL).await;
                 continue;
             };
-            self.thaw().await;
+            self.wait_while_frozen().await;
             if self.counters.borrow().connections_open >= self.opts.connections {
                 self.counters.borrow_mut().connections_refused += 1;
                 continue;
@@ -126,57 +126,58 @@
             let crash = crash.clone();
             monoio::spawn(async move {
                 let serve = pin!(connection::serve(Conn::new(stream), &open.server));
-                // An error ends the connection, which is all that a caller is owed.
+                // An error ends the connection; it needs no other handling.
                 if let Either::Left((Err(_) | Ok(()), _)) = select(serve, crash).await {}
             });
         }
     }
 
-    /// Ends all connections and the listener at once.
+    /// Crashes the server: closes the listener and all connections immediately.
     pub fn crash_now(&self) {
         self.counters.borrow_mut().crashes += 1;
         if let Some(tx) = self.crash.borrow_mut().take() {
-            // A server that is down already has nobody to tell.
+            // Sending fails only if the server is down already.
             let _ = tx.send(());
         }
     }
 
-    /// Waits while the server is frozen.
-    pub async fn thaw(&self) {
+    /// Waits while the fault `freeze` is set.
+    pub async fn wait_while_frozen(&self) {
         while self.faults.borrow().freeze {
-            sleep(THAW_POLL).await;
+            sleep(FREEZE_POLL).await;
         }
     }
 
-    /// Waits as long as the way between callers and the server takes.
-    pub async fn pass_way(&self) {
-        wait(self.delay).await;
+    /// Waits for the simulated one-way delay.
+    pub async fn apply_delay(&self) {
+        sleep_nonzero(self.delay).await;
     }
 
-    /// Waits as long as opening a connection takes.
-    pub async fn open_connection(&self) {
-        wait(self.opts.accept_time).await;
+    /// Waits for the simulated time to accept a connection.
+    pub async fn apply_accept_time(&self) {
+        sleep_nonzero(self.opts.accept_time).await;
     }
 
-    /// Begins to leave; later calls change nothing.
-    pub fn leave(&self) {
+    /// Starts leaving; later calls have no effect.
+    pub fn begin_leaving(&self) {
         if self.leaving.get().is_none() {
             self.leaving.set(Some(Instant::now()));
         }
     }
 
-    /// Whether the announced leave is long enough ago and nothing runs.
+    /// Returns whether [`Options::leave_after`] has passed since leaving began and no request runs or
+    /// waits.
     pub fn has_left(&self) -> bool {
         let idle = self.slots.running() == 0 && self.slots.waiting() == 0;
         idle && self.leaving.get().is_some_and(|since| since.elapsed() >= self.opts.leave_after)
     }
 
-    /// Work time of a request that asks for `fixed_ms`, or for none.
+    /// Returns the work time of a request: `fixed_ms` if the request states it, or a random one.
     pub fn work_time(&self, fixed_ms: Option<u64>) -> Duration {
         let work = self.spec.work.unwrap_or(self.opts.work);
         let base = match fixed_ms {
             Some(ms) => Duration::from_millis(ms),
-            None => work_sample(work, &self.rng),
+            None => sample_work(work, &self.rng),
         };
         base.mul_f64(self.faults.borrow().straggle_factor * self.cold_factor())
     }
@@ -186,13 +187,13 @@
         if age >= self.opts.cold_start {
             return 1.0;
         }
-        let left = 1.0 - age.as_secs_f64() / self.opts.cold_start.as_secs_f64();
-        1.0 + (COLD_FACTOR - 1.0) * left
+        let remaining = 1.0 - age.as_secs_f64() / self.opts.cold_start.as_secs_f64();
+        1.0 + (COLD_FACTOR - 1.0) * remaining
     }
 
-    /// The load report that goes with an answer now.
+    /// Returns the load report to send with an answer.
     pub fn report(&self) -> LoadReport {
-        let honest = LoadReport {
+        let actual = LoadReport {
             in_flight: self.slots.running() as u32,
             waiting: self.slots.waiting() as u32,
             slots: self.slots.limit() as u32,
@@ -200,22 +201,22 @@
             pace: 0,
         };
         match self.faults.borrow().reports {
-            ReportFault::None => honest,
-            ReportFault::Lie => LoadReport { in_flight: 0, waiting: 0, ..honest },
-            ReportFault::Late => self.late(honest),
+            ReportFault::None => actual,
+            ReportFault::Lie => LoadReport { in_flight: 0, waiting: 0, ..actual },
+            ReportFault::Late => self.delayed_report(actual),
         }
     }
 
-    fn late(&self, honest: LoadReport) -> LoadReport {
+    fn delayed_report(&self, actual: LoadReport) -> LoadReport {
         let (at, old) = self.late_report.get();
         if at.elapsed() >= LATE_REPORT_AGE {
-            self.late_report.set((Instant::now(), honest));
+            self.late_report.set((Instant::now(), actual));
         }
-        LoadReport { slots: honest.slots, ..old }
+        LoadReport { slots: actual.slots, ..old }
     }
 }
 
-fn work_sample(work: Work, rng: &RefCell<StdRng>) -> Duration {
+fn sample_work(work: Work, rng: &RefCell<StdRng>) -> Duration {
     work.sample(&mut *rng.borrow_mut())
 }
 
@@ -242,8 +243,9 @@
     }
 }
 
-/// Waits; not at all for no time, since timers are no finer than a millisecond.
-pub async fn wait(time: Duration) {
+/// Sleeps unless `time` is zero: the timer has a resolution of one millisecond, so that even an
+/// empty sleep could take that long.
+pub async fn sleep_nonzero(time: Duration) {
     if !time.is_zero() {
         sleep(time).await;
     }
--- a/crates/galenapath-dev/src/backend/slots.rs
+++ b/crates/galenapath-dev/src/backend/slots.rs
@@ -1,4 +1,4 @@
-//! The slots of a backend server and the bounded room in which requests wait for one.
+//! Concurrency slots of a backend server, with a bounded queue of waiting requests.
 
 use futures::channel::oneshot;
 use std::cell::RefCell;
@@ -6,54 +6,54 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Every slot is taken and the waiting room is full.
+/// Error of [`Slots::acquire`]: all slots are in use and the queue is full.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("no slot and no room to wait")]
+#[error("all slots are in use and the queue is full")]
 pub struct Full;
 
-/// Slots of one backend server, given out in order of arrival.
+/// Slots of one backend server, assigned in order of arrival.
 pub struct Slots {
     limit: usize,
-    room: usize,
+    queue_limit: usize,
     state: RefCell<State>,
 }
 
 #[derive(Default)]
 struct State {
-    /// Slots given out; at most `limit`.
+    /// Slots in use; at most `limit`.
     running: usize,
-    /// Requests that wait, oldest first; non-empty only while `running == limit`.
+    /// Waiting requests, oldest first; non-empty only while `running == limit`.
     waiting: VecDeque<oneshot::Sender<SlotGuard>>,
 }
 
-/// A slot in use; dropping it passes it to the next request or frees it.
+/// A slot in use; dropping it passes the slot to the next waiting request or frees it.
 pub struct SlotGuard {
     slots: Rc<Slots>,
 }
 
 impl Slots {
-    /// `limit` slots and room for `room` waiting requests.
-    pub fn new(limit: usize, room: usize) -> Rc<Self> {
-        Rc::new(Self { limit, room, state: RefCell::default() })
+    /// Creates `limit` slots with a queue of at most `queue_limit` waiting requests.
+    pub fn new(limit: usize, queue_limit: usize) -> Rc<Self> {
+        Rc::new(Self { limit, queue_limit, state: RefCell::default() })
     }
 
-    /// Slots in use.
+    /// Returns the number of slots in use.
     pub fn running(&self) -> usize {
         self.state.borrow().running
     }
 
-    /// Requests that wait for a slot.
+    /// Returns the number of requests that wait for a slot.
     pub fn waiting(&self) -> usize {
         self.state.borrow().waiting.iter().filter(|tx| !tx.is_canceled()).count()
     }
 
-    /// Number of slots.
+    /// Returns the number of slots.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
-    /// Waits for a slot, or fails at once when there is no room. Dropping the future gives up the
-    /// place.
+    /// Waits for a slot, or fails immediately if the queue is full. Dropping the future leaves the
+    /// queue.
     pub async fn acquire(self: &Rc<Self>) -> Result<SlotGuard, Full> {
         let rx = {
             let mut state = self.state.borrow_mut();
@@ -62,7 +62,7 @@
                 return Ok(SlotGuard { slots: Rc::clone(self) });
             }
             state.waiting.retain(|tx| !tx.is_canceled());
-            if state.waiting.len() >= self.room {
+            if state.waiting.len() >= self.queue_limit {
                 return Err(Full);
             }
             let (tx, rx) = oneshot::channel();
@@ -85,7 +85,7 @@
             next
         };
         if let Some(tx) = next {
-            // A waiter that has gone away hands the guard back; dropping it serves the next one.
+            // If the waiter has left, sending returns the guard; dropping it serves the next waiter.
             let _ = tx.send(Self { slots: Rc::clone(&self.slots) });
         }
     }
