--- a/crates/galenapath-dev/src/load/arrivals.rs
+++ b/crates/galenapath-dev/src/load/arrivals.rs
@@ -1,10 +1,10 @@
-//! When requests are due.
+//! Arrival times of requests.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// Times of a Poisson process, counted from the start, up to an end.
+/// Arrival times of a Poisson process, counted from the start of the run, up to an end.
 pub struct Arrivals {
     rng: StdRng,
     rate: f64,
@@ -13,7 +13,7 @@
 }
 
 impl Arrivals {
-    /// `rate` arrivals a second on average until `end`.
+    /// Creates arrivals with a mean rate of `rate` per second until `end`.
     pub fn new(seed: u64, rate: f64, end: Duration) -> Self {
         Self { rng: StdRng::seed_from_u64(seed), rate, at: 0.0, end: end.as_secs_f64() }
     }
--- a/crates/galenapath-dev/src/load/attempt.rs
+++ b/crates/galenapath-dev/src/load/attempt.rs
@@ -13,22 +13,22 @@
 /// How one attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Attempt {
-    /// Success, and the body is the expected one.
+    /// Answered with success and the expected body.
     Answered,
-    /// Told that it did not run, and perhaps when to come back.
+    /// The answer states that the request did not run, and after which time to retry if given.
     NotRun(Option<Duration>),
-    /// Told that it may have run.
+    /// The answer states that the request may have run.
     MayHaveRun,
-    /// A backend server answered with a status of failure.
+    /// A backend server answered with an error status.
     Failed(StatusCode),
-    /// No whole answer.
+    /// No complete answer.
     Broken,
-    /// The body is not the expected one.
+    /// Answered with success, but not with the expected body.
     Wrong,
 }
 
 impl Attempt {
-    /// What the caller knows after it.
+    /// Returns the outcome of a request whose last attempt ended like this.
     pub const fn outcome(self) -> Outcome {
         match self {
             Self::Answered => Outcome::Answered,
@@ -41,35 +41,35 @@
     }
 }
 
-/// What a request says.
+/// Contents of a request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestSpec {
-    /// Method; `GET` where it is empty.
+    /// Method; `GET` if empty.
     pub method: String,
     /// Service, sent as `Host`.
     pub service: String,
-    /// Path with query.
+    /// Path and query.
     pub path: String,
-    /// Idempotency key; none is sent where it is empty.
+    /// Idempotency key; not sent if empty.
     pub key: String,
-    /// Length of the pattern that the path asks for.
+    /// Length of the body pattern that the path requests, in bytes.
     pub bytes: Option<u64>,
-    /// Time that the caller gives the request, in milliseconds.
+    /// Deadline of the request, in milliseconds from when it is sent.
     pub deadline_ms: Option<u64>,
-    /// Body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
-/// A request ready to be sent, any number of times.
+/// An encoded request, which can be sent any number of times.
 pub struct Request {
     spec: RequestSpec,
     method: Method,
-    /// Head and body as they go out.
+    /// Encoded head and body.
     message: Vec<u8>,
 }
 
 impl Request {
-    /// Makes the message.
+    /// Encodes the request.
     pub fn new(spec: RequestSpec) -> Self {
         let method = Method::from_bytes(spec.method.as_bytes()).unwrap_or_default();
         let len = spec.body.len().to_string();
@@ -86,7 +86,7 @@
         Self { spec, method, message }
     }
 
-    /// What the request says.
+    /// Returns the contents of the request.
     pub const fn spec(&self) -> &RequestSpec {
         &self.spec
     }
@@ -111,18 +111,18 @@
         conn.write(self.message.clone()).await?;
         let head = conn.read_answer().await?;
         let mut framing = Framing::of_answer(&self.method, head.status, &head.headers);
-        let reusable = !matches!(framing, Framing::UntilClose) && !says_close(&head.headers);
+        let reusable = !matches!(framing, Framing::UntilClose) && !has_close_option(&head.headers);
         let mut check = BodyCheck::new(&self.spec.path, &self.spec.key, self.spec.bytes);
         while let Some(part) = conn.read_part(&mut framing).await? {
             if head.status.is_success() {
                 check.update(&part);
             }
         }
-        Ok((judge(&head, &check), reusable))
+        Ok((classify(&head, &check), reusable))
     }
 }
 
-fn judge(head: &ResponseHead, check: &BodyCheck) -> Attempt {
+fn classify(head: &ResponseHead, check: &BodyCheck) -> Attempt {
     let verdict = text(&head.headers, VERDICT_HEADER);
     if verdict == Verdict::NotRun.as_str() {
         return Attempt::NotRun(retry_after(&head.headers));
@@ -137,7 +137,7 @@
     }
 }
 
-fn says_close(headers: &HeaderMap) -> bool {
+fn has_close_option(headers: &HeaderMap) -> bool {
     text(headers, "connection").eq_ignore_ascii_case("close")
 }
 
--- a/crates/galenapath-dev/src/load/told.rs
+++ b/crates/galenapath-dev/src/load/caller_result.rs
@@ -1,27 +1,28 @@
-//! What a caller was told about one request.
+//! Result of one request as received by its caller.
 
 use super::attempt::{Attempt, RequestSpec};
 use super::tally::Outcome;
 
-/// The end of a request and what makes it comparable with what backend servers ran.
+/// Result of a request over all attempts, with the key and path that identify its executions on
+/// the backend servers.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// Path with query; unique to the request.
+pub struct CallerResult {
+    /// Path and query; unique to the request.
     pub path: String,
-    /// Idempotency key; empty where it has none.
+    /// Idempotency key; empty if the request has none.
     pub key: String,
-    /// How the last attempt ended.
+    /// Outcome of the last attempt.
     pub outcome: Outcome,
     /// Number of attempts.
     pub attempts: u32,
-    /// Whether every attempt was told that it did not run.
+    /// Whether the answer to every attempt stated that the request did not run.
     pub never_ran: bool,
-    /// Whether an attempt was answered.
+    /// Whether any attempt was answered with success.
     pub answered: bool,
 }
 
-impl Told {
-    /// Nothing was sent yet.
+impl CallerResult {
+    /// Creates the result of a request that was not sent yet.
     pub fn new(spec: &RequestSpec) -> Self {
         Self {
             path: spec.path.clone(),
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Takes the end of an attempt.
+    /// Records how an attempt ended.
     pub fn record(&mut self, end: Attempt) {
         self.outcome = end.outcome();
         self.attempts += 1;
--- a/crates/galenapath-dev/src/load/check.rs
+++ b/crates/galenapath-dev/src/load/check.rs
@@ -1,24 +1,24 @@
-//! Whether a body belongs to its request.
+//! Check that an answer's body belongs to its request.
 
 use crate::backend::{pattern_bytes, pattern_seed};
 
-/// Longest body without a declared pattern that is kept for the check.
+/// Largest JSON summary that is kept for the check, in bytes.
 const SUMMARY_LIMIT: usize = 64 * 1024;
 
-/// Checks an answer's body part by part, in bounded memory.
+/// Checks an answer's body part by part with bounded memory.
 pub struct BodyCheck {
     path: String,
     key: String,
-    /// Length of the pattern that was asked for; `None` means a summary in JSON.
+    /// Length of the requested pattern in bytes; `None` means that a JSON summary is expected.
     bytes: Option<u64>,
     seed: u64,
     offset: u64,
     summary: Vec<u8>,
-    wrong: bool,
+    is_wrong: bool,
 }
 
 impl BodyCheck {
-    /// Expects the answer to a request for `path` with `key`, which may be empty.
+    /// Creates the check of the answer to a request for `path` with `key`, which may be empty.
     pub fn new(path: &str, key: &str, bytes: Option<u64>) -> Self {
         Self {
             path: path.to_owned(),
@@ -27,27 +27,27 @@
             seed: pattern_seed(path),
             offset: 0,
             summary: Vec::new(),
-            wrong: false,
+            is_wrong: false,
         }
     }
 
-    /// Takes the next part.
+    /// Checks the next part.
     pub fn update(&mut self, part: &[u8]) {
         if self.bytes.is_some() {
-            self.wrong |= part != pattern_bytes(self.seed, self.offset, part.len());
+            self.is_wrong |= part != pattern_bytes(self.seed, self.offset, part.len());
             self.offset += part.len() as u64;
         } else if self.summary.len() + part.len() > SUMMARY_LIMIT {
-            self.wrong = true;
+            self.is_wrong = true;
         } else {
             self.summary.extend_from_slice(part);
         }
     }
 
-    /// Whether the whole body is the expected one.
+    /// Returns whether the whole body is the expected one.
     pub fn is_right(&self) -> bool {
         match self.bytes {
-            Some(len) => !self.wrong && self.offset == len,
-            None => !self.wrong && self.summary_matches(),
+            Some(len) => !self.is_wrong && self.offset == len,
+            None => !self.is_wrong && self.summary_matches(),
         }
     }
 
--- a/crates/galenapath-dev/src/load/entries.rs
+++ b/crates/galenapath-dev/src/load/entries.rs
@@ -1,4 +1,4 @@
-//! Which addresses to use: asks the instances and keeps the answer as long as it is valid.
+//! Addresses to send to: queried from the instances and cached while valid.
 
 use crate::wire::exchange;
 use monoio::time::{sleep, timeout};
@@ -8,12 +8,13 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest wait for an instance that is asked for addresses.
-const ASK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before an instance is asked again while it starts.
-const ASK_PAUSE: Duration = Duration::from_millis(50);
-/// An answer is used at least this long, so that a failing instance is not asked per request.
-const LEAST_VALID: Duration = Duration::from_millis(200);
+/// Time-out of a query for addresses.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause before the next query to an instance that is still starting.
+const QUERY_PAUSE: Duration = Duration::from_millis(50);
+/// Shortest validity of the cached addresses, so that a failing instance is not queried for each
+/// request.
+const MIN_VALIDITY: Duration = Duration::from_millis(200);
 
 /// Answer to `GET /v1/entries`.
 #[derive(Deserialize)]
@@ -29,16 +30,16 @@
     address: SocketAddr,
 }
 
-/// Addresses in the order in which to try them.
+/// Addresses in the order in which to try them, and the key prefix that belongs to them.
 #[derive(Clone, Debug, Default)]
 pub struct Route {
-    /// First choice first.
+    /// Most preferred address first.
     pub addresses: Vec<SocketAddr>,
-    /// What a key must begin with.
+    /// Prefix that every idempotency key must have.
     pub key_prefix: String,
 }
 
-/// Addresses for one service.
+/// Cached addresses for one service.
 pub struct Entries {
     service: String,
     seeds: Vec<SocketAddr>,
@@ -48,23 +49,23 @@
 struct State {
     route: Rc<Route>,
     valid_until: Instant,
-    /// Seed to ask next; moves on when one does not answer.
+    /// Index of the seed to query next; incremented when a seed does not answer.
     next_seed: usize,
-    asking: bool,
+    is_refreshing: bool,
 }
 
 impl Entries {
-    /// Asks `seeds` about `service`, beginning with number `first`.
-    pub fn asking(service: &str, seeds: &[SocketAddr], first: usize) -> Self {
+    /// Queries `seeds` for the addresses of `service`, starting with the seed at index `first`.
+    pub fn with_seeds(service: &str, seeds: &[SocketAddr], first: usize) -> Self {
         let route = Route { addresses: seeds.to_vec(), key_prefix: String::new() };
         Self::with(service, seeds, route, first, Instant::now())
     }
 
-    /// Uses `addresses` and asks nobody.
+    /// Uses `addresses` without any query.
     pub fn fixed(service: &str, addresses: &[SocketAddr]) -> Self {
         let route = Route { addresses: addresses.to_vec(), key_prefix: String::new() };
-        let for_ever = Instant::now() + Duration::from_secs(24 * 3600);
-        Self::with(service, &[], route, 0, for_ever)
+        let valid_until = Instant::now() + Duration::from_secs(24 * 3600);
+        Self::with(service, &[], route, 0, valid_until)
     }
 
     fn with(
@@ -74,41 +75,42 @@
         next_seed: usize,
         valid_until: Instant,
     ) -> Self {
-        let state = State { route: Rc::new(route), valid_until, next_seed, asking: false };
+        let state = State { route: Rc::new(route), valid_until, next_seed, is_refreshing: false };
         Self { service: service.to_owned(), seeds: seeds.to_vec(), state: RefCell::new(state) }
     }
 
-    /// The current route; one caller renews it when it is no longer valid.
+    /// Returns the current route. If it is no longer valid, one caller refreshes it; callers that
+    /// arrive meanwhile use the old one.
     pub async fn route(&self) -> Rc<Route> {
-        let must_ask = {
+        let must_refresh = {
             let mut state = self.state.borrow_mut();
-            let due = Instant::now() >= state.valid_until && !state.asking;
-            state.asking |= due;
-            due
+            let is_due = Instant::now() >= state.valid_until && !state.is_refreshing;
+            state.is_refreshing |= is_due;
+            is_due
         };
-        if must_ask {
-            self.renew().await;
+        if must_refresh {
+            self.refresh().await;
         }
         Rc::clone(&self.state.borrow().route)
     }
 
-    /// Asks for addresses until an instance answers or each was asked once.
-    pub async fn renew(&self) {
+    /// Queries the seeds in turn until one answers or each was queried once.
+    pub async fn refresh(&self) {
         let path = format!("/v1/entries?service={}", self.service);
         for _ in 0..self.seeds.len() {
             let seed = self.seeds[self.state.borrow().next_seed % self.seeds.len()];
-            if let Some(answer) = ask(seed, &path).await {
-                self.accept(answer);
+            if let Some(answer) = query_addresses(seed, &path).await {
+                self.apply_answer(answer);
                 break;
             }
             self.state.borrow_mut().next_seed += 1;
         }
         let mut state = self.state.borrow_mut();
-        state.asking = false;
-        state.valid_until = state.valid_until.max(Instant::now() + LEAST_VALID);
+        state.is_refreshing = false;
+        state.valid_until = state.valid_until.max(Instant::now() + MIN_VALIDITY);
     }
 
-    fn accept(&self, answer: EntriesWire) {
+    fn apply_answer(&self, answer: EntriesWire) {
         let addresses = answer.entries.into_iter().map(|entry| entry.address).collect();
         let mut state = self.state.borrow_mut();
         state.route = Rc::new(Route { addresses, key_prefix: answer.key_prefix });
@@ -116,23 +118,23 @@
     }
 }
 
-/// Waits until each of `seeds` has an answer for `service`; `false` once `limit` is over.
-pub async fn wait_known(service: &str, seeds: &[SocketAddr], limit: Duration) -> bool {
+/// Waits until each of `seeds` answers for `service`; returns `false` if `limit` passes first.
+pub async fn wait_until_known(service: &str, seeds: &[SocketAddr], limit: Duration) -> bool {
     let began = Instant::now();
     let path = format!("/v1/entries?service={service}");
     for seed in seeds {
-        while ask(*seed, &path).await.is_none() {
+        while query_addresses(*seed, &path).await.is_none() {
             if began.elapsed() >= limit {
                 return false;
             }
-            sleep(ASK_PAUSE).await;
+            sleep(QUERY_PAUSE).await;
         }
     }
     true
 }
 
-async fn ask(seed: SocketAddr, path: &str) -> Option<EntriesWire> {
-    let answer = timeout(ASK_TIMEOUT, exchange(seed, "GET", path, b"")).await.ok()?.ok()?;
+async fn query_addresses(seed: SocketAddr, path: &str) -> Option<EntriesWire> {
+    let answer = timeout(QUERY_TIMEOUT, exchange(seed, "GET", path, b"")).await.ok()?.ok()?;
     let wire: EntriesWire = serde_json::from_slice(&answer.body).ok()?;
     (answer.status.is_success() && !wire.entries.is_empty()).then_some(wire)
 }
--- a/crates/galenapath-dev/src/load/options.rs
+++ b/crates/galenapath-dev/src/load/options.rs
@@ -6,52 +6,53 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Sends bounded load of several classes and prints one row for each.
+/// Sends a bounded load of several classes and prints one row for each class.
 #[derive(Clone, Debug, Parser)]
 pub struct Options {
-    /// Address of an entry instance to ask for addresses; repeat for more.
+    /// Address of an entry instance to query for addresses; repeat for more.
     #[arg(long = "entry")]
     pub entries: Vec<SocketAddr>,
-    /// Address to send to without asking, such as a backend server's; repeat for more.
+    /// Address to send to without querying, such as a backend server's; repeat for more.
     #[arg(long = "direct", conflicts_with = "entries", required_unless_present = "entries")]
     pub direct: Vec<SocketAddr>,
     /// Load of a class: `name=…,service=…,rate=PER_SECOND[,method=…][,path=…][,bytes=…][,body=…]
     /// [,filing=true][,deadline_ms=…][,target_ms=…][,reliability=…]`; repeat for more.
     #[arg(long = "class", required = true)]
     pub classes: Vec<ClassLoad>,
-    /// How long requests are sent.
+    /// Time during which requests are sent.
     #[arg(long, default_value = "10s", value_parser = humantime::parse_duration)]
     pub duration: Duration,
-    /// Most requests of a class.
+    /// Maximum number of requests of a class.
     #[arg(long, default_value_t = 1_000_000)]
     pub most: u64,
-    /// Most requests of a class that are unanswered at a time; what exceeds it is not sent and
-    /// counted as unsent.
+    /// Maximum number of unanswered requests of a class; requests beyond it are not sent and counted
+    /// as unsent.
     #[arg(long, default_value_t = 4_000)]
     pub outstanding: usize,
-    /// Times that a caller sends a request, the first one counted.
+    /// Maximum number of attempts of a request, including the first.
     #[arg(long, default_value_t = 3)]
     pub attempts: u32,
-    /// Longest that a caller waits for one answer.
+    /// Time-out of one attempt.
     #[arg(long, default_value = "10s", value_parser = humantime::parse_duration)]
     pub patience: Duration,
     /// Simulated one-way delay between callers and instances.
     #[arg(long, default_value = "0ms", value_parser = humantime::parse_duration)]
     pub delay: Duration,
-    /// Longest wait, before the load begins, until every entry instance knows every service.
+    /// Maximum time to wait before the load starts until every entry instance knows every service.
     #[arg(long, default_value = "0s", value_parser = humantime::parse_duration)]
     pub warm_up: Duration,
-    /// Exit with 1 and say why where an answer was wrong or missing, or a target was missed.
+    /// Exit with status 1 and print the reasons if an answer was wrong or missing, or a target was
+    /// missed.
     #[arg(long)]
     pub check: bool,
-    /// Address of a backend stand-in's counters; with `--check`, a key that ran twice is an error.
-    /// Repeat for more.
+    /// Admin address of a backend stand-in; with `--check`, a key that ran more than once is an
+    /// error. Repeat for more.
     #[arg(long = "admin")]
     pub admins: Vec<SocketAddr>,
-    /// Seed of the arrivals.
+    /// Seed of the random arrival times.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Print rows as JSON, one a line, instead of a table.
+    /// Print rows as JSON, one per line, instead of a table.
     #[arg(long)]
     pub json: bool,
 }
@@ -59,38 +60,38 @@
 /// Load of one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassLoad {
-    /// Name in the table.
+    /// Name of the class in the table.
     pub name: String,
-    /// Service, sent as `Host`.
+    /// Service, sent as the `Host` header.
     pub service: String,
-    /// Requests a second.
+    /// Mean rate in requests per second.
     pub rate: f64,
-    /// Method.
+    /// HTTP method.
     pub method: String,
-    /// Path; a nonce is added to its query.
+    /// Path; a nonce is added to the query.
     pub path: String,
-    /// Length of the answer that is asked for, in bytes; a short one where it is missing.
+    /// Length of the requested answer body, in bytes; a short summary if `None`.
     pub bytes: Option<u64>,
-    /// Length of the request's body in bytes.
+    /// Length of the request body, in bytes.
     pub body: usize,
-    /// Time that callers give a request, in milliseconds; not sent where it is missing.
+    /// Deadline of a request, in milliseconds; not sent if `None`.
     pub deadline_ms: Option<u64>,
     /// Whether requests carry an idempotency key.
     pub filing: bool,
-    /// Time within which an answer meets the target, in milliseconds.
+    /// Latency target, in milliseconds.
     pub target_ms: u64,
-    /// Share of the sent requests that must meet it.
+    /// Share of the requests that must be answered within the target.
     pub reliability: f64,
 }
 
-/// Why a text describes no load of a class.
+/// Error of parsing a [`ClassLoad`].
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ParseClassError {
     /// A field is missing.
-    #[error("class has no `{0}`")]
+    #[error("class specification has no `{0}`")]
     Missing(&'static str),
     /// A field is unknown or its value cannot be read.
-    #[error("class has a bad field `{0}`")]
+    #[error("class specification has an invalid field `{0}`")]
     BadField(String),
 }
 
--- a/crates/galenapath-dev/src/load/pool.rs
+++ b/crates/galenapath-dev/src/load/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections, kept per address.
+//! Pool of idle connections by address.
 
 use crate::wire::Conn;
 use galenapath_protocol::FastMap;
@@ -7,17 +7,17 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// An idle connection older than this is closed rather than used.
+/// Idle time after which a connection is closed instead of reused.
 const IDLE_LIMIT: Duration = Duration::from_secs(5);
 
-/// Connections whose last answer was read whole.
+/// Idle connections, ready for the next request.
 #[derive(Default)]
 pub struct Pool {
     idle: RefCell<FastMap<SocketAddr, Vec<(Instant, Conn)>>>,
 }
 
 impl Pool {
-    /// An idle connection to `addr`, or a new one.
+    /// Takes an idle connection to `addr` or opens a new one.
     pub async fn take(&self, addr: SocketAddr) -> io::Result<Conn> {
         let idle = self.idle.borrow_mut().get_mut(&addr).and_then(Vec::pop);
         match idle {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns a connection whose last answer was read whole.
+    /// Returns a connection whose last answer was read completely.
     pub fn put(&self, addr: SocketAddr, conn: Conn) {
         self.idle.borrow_mut().entry(addr).or_default().push((Instant::now(), conn));
     }
--- a/crates/galenapath-dev/src/load/run.rs
+++ b/crates/galenapath-dev/src/load/run.rs
@@ -1,12 +1,12 @@
-//! Sends all requests when they are due and waits for their ends.
+//! Sends all requests when they are due and waits for their outcomes.
 
 use super::arrivals::Arrivals;
 use super::caller::Callers;
-use super::entries::{Entries, wait_known};
+use super::caller_result::CallerResult;
+use super::entries::{Entries, wait_until_known};
 use super::options::{ClassLoad, Options};
 use super::pool::Pool;
 use super::tally::{Outcome, Row, Tally};
-use super::told::Told;
 use futures::future::join_all;
 use galenapath_protocol::hash64;
 use monoio::time::sleep;
@@ -14,44 +14,45 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often the end of the last requests is looked for.
-const END_POLL: Duration = Duration::from_millis(5);
+/// Interval of checks whether the last requests have ended.
+const COMPLETION_POLL: Duration = Duration::from_millis(5);
 
-/// Result of one class.
+/// Results of one class.
 pub struct Report {
-    /// Its figures.
+    /// Counts and latencies.
     pub row: Row,
-    /// What callers were told, in the order in which requests ended.
-    pub told: Vec<Told>,
+    /// Results as received by the callers, in the order in which requests ended.
+    pub results: Vec<CallerResult>,
 }
 
-/// Runs the load of every class side by side; one report for each.
+/// Runs the loads of all classes concurrently and returns one report for each.
 pub async fn run(opts: &Options) -> Vec<Report> {
     if !opts.warm_up.is_zero() {
         for class in &opts.classes {
-            // A service that stays unknown shows in the figures of its class.
-            wait_known(&class.service, &opts.entries, opts.warm_up).await;
+            // A service that stays unknown shows in the results of its class.
+            wait_until_known(&class.service, &opts.entries, opts.warm_up).await;
         }
     }
     join_all(opts.classes.iter().map(|class| run_class(opts, class))).await
 }
 
-/// Requests of a class in progress and their results.
+/// Results so far and number of outstanding requests of a class.
 struct Progress {
     tally: RefCell<Tally>,
-    told: RefCell<Vec<Told>>,
+    results: RefCell<Vec<CallerResult>>,
     outstanding: Cell<usize>,
 }
 
 async fn run_class(opts: &Options, class: &ClassLoad) -> Report {
     let seed = hash64(opts.seed, class.name.as_bytes());
     let callers = Rc::new(callers(opts, class));
-    // Asking for addresses once is a caller's first step, not part of a request's time.
+    // A caller queries the addresses before its first request, so the query is not part of a
+    // request's latency.
     join_all(callers.entries.iter().map(Entries::route)).await;
     let tally = Tally::new(Duration::from_millis(class.target_ms));
     let progress = Rc::new(Progress {
         tally: RefCell::new(tally),
-        told: RefCell::default(),
+        results: RefCell::default(),
         outstanding: Cell::new(0),
     });
     let began = Instant::now();
@@ -70,17 +71,17 @@
         monoio::spawn(send(Rc::clone(&callers), Rc::clone(&progress), index, due));
     }
     while progress.outstanding.get() > 0 {
-        sleep(END_POLL).await;
+        sleep(COMPLETION_POLL).await;
     }
     let row = progress.tally.borrow().row(&class.name, class.reliability);
-    Report { row, told: progress.told.take() }
+    Report { row, results: progress.results.take() }
 }
 
 fn callers(opts: &Options, class: &ClassLoad) -> Callers {
     let service = &class.service;
     let entries = match opts.direct.is_empty() {
         true => (0..opts.entries.len())
-            .map(|first| Entries::asking(service, &opts.entries, first))
+            .map(|first| Entries::with_seeds(service, &opts.entries, first))
             .collect(),
         false => vec![Entries::fixed(service, &opts.direct)],
     };
@@ -89,8 +90,8 @@
 }
 
 async fn send(callers: Rc<Callers>, progress: Rc<Progress>, index: u64, due: Instant) {
-    let told = callers.call(index).await;
-    progress.tally.borrow_mut().record(told.outcome, due.elapsed(), told.attempts);
-    progress.told.borrow_mut().push(told);
+    let result = callers.call(index).await;
+    progress.tally.borrow_mut().record(result.outcome, due.elapsed(), result.attempts);
+    progress.results.borrow_mut().push(result);
     progress.outstanding.set(progress.outstanding.get() - 1);
 }
--- a/crates/galenapath-dev/src/load/tally.rs
+++ b/crates/galenapath-dev/src/load/tally.rs
@@ -1,67 +1,68 @@
-//! Counts and times of one class.
+//! Outcome counts and latencies of one class.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::time::Duration;
 
-/// Longest time that is told apart, in microseconds.
-const MOST_US: u64 = 120_000_000;
-/// Significant digits of the times.
-const DIGITS: u8 = 3;
+/// Upper bound of the latency histogram, in microseconds; longer latencies are recorded as this
+/// value.
+const MAX_LATENCY_US: u64 = 120_000_000;
+/// Significant digits of the latency histogram.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// How a request ended for its caller, after all attempts.
+/// Outcome of a request for its caller, after all attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered with success and the body that belongs to it.
+    /// Answered with success and the expected body.
     Answered,
-    /// Told that it did not run.
+    /// The last answer stated that the request did not run.
     NotRun,
-    /// Told that it may have run.
+    /// The last answer stated that the request may have run.
     MayHaveRun,
-    /// Answered by a backend server with a status of failure.
+    /// A backend server answered with an error status.
     Failed,
-    /// No whole answer: the connection broke or took too long.
+    /// No complete answer: the connection broke or the attempt timed out.
     Broken,
-    /// A body of another request, or a damaged one.
+    /// The body belongs to another request or is damaged.
     Wrong,
-    /// Never sent: too many requests of the class were unanswered already.
+    /// Not sent, because too many requests of the class were unanswered.
     Unsent,
 }
 
-/// Counts and times of one class so far.
+/// Running counts and latencies of one class.
 pub struct Tally {
     counts: [u64; 7],
     in_time: u64,
     resent: u64,
-    times: Histogram<u64>,
+    latencies: Histogram<u64>,
     target: Duration,
 }
 
 impl Tally {
-    /// A tally of a class whose answers should come within `target`.
+    /// Creates a tally for a class with the latency target `target`.
     pub fn new(target: Duration) -> Self {
-        let times = Histogram::new_with_bounds(1, MOST_US, DIGITS);
-        // Only bounds or digits out of range fail, and these are constants within it.
+        let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS);
+        // Fails only if bounds or digits are out of range, and these constants are valid.
         #[allow(clippy::expect_used)]
-        let mut times = times.expect("constant bounds are valid");
-        times.auto(true);
-        Self { counts: [0; 7], in_time: 0, resent: 0, times, target }
+        let mut latencies = latencies.expect("constant bounds are valid");
+        latencies.auto(true);
+        Self { counts: [0; 7], in_time: 0, resent: 0, latencies, target }
     }
 
-    /// Counts a request that ended `time` after it was due, in `attempts` attempts.
+    /// Records a request that ended `time` after it was due, after `attempts` attempts.
     pub fn record(&mut self, outcome: Outcome, time: Duration, attempts: u32) {
         self.counts[outcome as usize] += 1;
         self.resent += u64::from(attempts.saturating_sub(1));
         if outcome == Outcome::Answered {
             self.in_time += u64::from(time <= self.target);
-            self.times.saturating_record(time.as_micros() as u64);
+            self.latencies.saturating_record(time.as_micros() as u64);
         }
     }
 
-    /// The figures under `class`, whose target asks for `reliability`.
+    /// Returns the results of `class`, whose target requires the share `reliability` in time.
     pub fn row(&self, class: &str, reliability: f64) -> Row {
         let sent = self.counts.iter().sum();
-        let ms = |quantile| self.times.value_at_quantile(quantile) as f64 / 1_000.0;
+        let ms = |quantile| self.latencies.value_at_quantile(quantile) as f64 / 1_000.0;
         let count = |outcome: Outcome| self.counts[outcome as usize];
         Row {
             class: class.to_owned(),
@@ -83,12 +84,12 @@
     }
 }
 
-/// One line of the result.
+/// Results of one class, as one line of the output.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
     /// Name of the class.
     pub class: String,
-    /// Requests that were due, each counted once.
+    /// Requests that were due, each counted once, including those not sent.
     pub sent: u64,
     /// See [`Outcome::Answered`].
     pub answered: u64,
@@ -106,19 +107,19 @@
     pub unsent: u64,
     /// Attempts beyond the first.
     pub resent: u64,
-    /// Median time of answered requests in milliseconds, from the moment they were due.
+    /// Median latency of answered requests in milliseconds, from the time at which they were due.
     pub p50_ms: f64,
-    /// 99th percentile.
+    /// 99th percentile of the same latency.
     pub p99_ms: f64,
-    /// 99.9th percentile.
+    /// 99.9th percentile of the same latency.
     pub p999_ms: f64,
-    /// Answered within the target's time.
+    /// Requests answered within the latency target.
     pub in_time: u64,
-    /// Whether the share of sent requests answered in time reaches the target.
+    /// Whether the share of requests answered in time reaches the required reliability.
     pub target_met: bool,
 }
 
-/// The rows as a table.
+/// Formats the rows as a table.
 pub fn table(rows: &[Row]) -> String {
     let mut text = format!(
         "{:<14}{:>8}{:>10}{:>9}{:>14}{:>8}{:>8}{:>7}{:>9}{:>9}{:>9}  {}\n",
--- a/crates/galenapath-dev/src/load/verify.rs
+++ b/crates/galenapath-dev/src/load/verify.rs
@@ -1,23 +1,23 @@
-//! Whether a run is a good one: for scripts that need a yes or no.
+//! Checks of the results of a run, for scripts that need a pass or fail.
 
 use super::tally::Row;
 use crate::wire::{WireError, exchange};
 use std::net::SocketAddr;
 
-/// What is wrong with the rows, one line for each finding.
+/// Returns the problems found in the rows, one line each.
 pub fn problems(rows: &[Row]) -> Vec<String> {
     let mut found = Vec::new();
     for row in rows {
-        let mut none_of = |count: u64, what: &str| {
+        let mut report_nonzero = |count: u64, what: &str| {
             if count > 0 {
                 found.push(format!("{}: {count} {what}", row.class));
             }
         };
-        none_of(row.wrong, "wrong answers");
-        none_of(row.broken, "broken requests");
-        none_of(row.unsent, "requests that were not sent");
-        none_of(row.failed, "failed requests");
-        none_of(row.may_have_run, "requests that may have run");
+        report_nonzero(row.wrong, "wrong answers");
+        report_nonzero(row.broken, "broken requests");
+        report_nonzero(row.unsent, "requests that were not sent");
+        report_nonzero(row.failed, "failed requests");
+        report_nonzero(row.may_have_run, "requests that may have run");
         if !row.target_met {
             found.push(format!("{}: target missed", row.class));
         }
@@ -25,11 +25,12 @@
     found
 }
 
-/// Keys that ran more than once, as the backend stand-ins at `admins` count them.
+/// Returns the number of keys that ran more than once, as counted by the backend stand-ins at
+/// `admins`.
 ///
 /// # Errors
 ///
-/// A stand-in does not answer.
+/// Fails if a stand-in does not answer.
 pub async fn repeated_keys(admins: &[SocketAddr]) -> Result<usize, WireError> {
     let mut repeated = 0;
     for admin in admins {
--- a/crates/galenapath-dev/src/scenario/cluster.rs
+++ b/crates/galenapath-dev/src/scenario/cluster.rs
@@ -14,7 +14,7 @@
 use super::truth::Executions;
 use super::users::Users;
 use crate::link::Relay;
-use crate::load::{Report, Told};
+use crate::load::{CallerResult, Report};
 use crate::wire::Conn;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -173,19 +173,19 @@
 
     /// What callers were told: single requests by key or path, in the order in which they ended,
     /// then loads.
-    pub fn told(&self) -> Vec<Told> {
+    pub fn told(&self) -> Vec<CallerResult> {
         let mut ended: Vec<_> =
             self.sent.values().filter_map(|sent| Some((sent.ended()?, &sent.spec))).collect();
         ended.sort_by_key(|(end, _)| end.at);
-        let mut told: BTreeMap<(&str, &str), Told> = BTreeMap::new();
+        let mut told: BTreeMap<(&str, &str), CallerResult> = BTreeMap::new();
         for (end, spec) in ended {
             let id = (spec.key.as_str(), spec.path.as_str());
-            told.entry(id).or_insert_with(|| Told::new(spec)).record(end.attempt);
+            told.entry(id).or_insert_with(|| CallerResult::new(spec)).record(end.attempt);
         }
-        let mut all: Vec<Told> = told.into_values().collect();
+        let mut all: Vec<CallerResult> = told.into_values().collect();
         for load in self.loads.values() {
             if let Some(report) = load.borrow().as_ref() {
-                all.extend(report.told.iter().cloned());
+                all.extend(report.results.iter().cloned());
             }
         }
         all
--- a/crates/galenapath-dev/src/scenario/truth.rs
+++ b/crates/galenapath-dev/src/scenario/truth.rs
@@ -1,7 +1,7 @@
 //! Compares what callers were told with what backend servers ran.
 
 use super::error::ScenarioError;
-use crate::load::{Outcome, Told};
+use crate::load::{CallerResult, Outcome};
 use galenapath_protocol::FastMap;
 use std::path::Path;
 
@@ -44,7 +44,7 @@
 ///
 /// A key's last word counts: a filing that was told "not run" and sent again may have run since.
 /// A request without a key may run once for each attempt, so all of them must be told "not run".
-pub fn check(executions: &Executions, told: &[Told]) -> Result<(), ScenarioError> {
+pub fn check(executions: &Executions, told: &[CallerResult]) -> Result<(), ScenarioError> {
     if let Some((key, n)) = executions.repeated() {
         return Err(lie(format!("key {key} runs at most once"), format!("it ran {n} times")));
     }
--- a/crates/galenapath-dev/tests/scenario.rs
+++ b/crates/galenapath-dev/tests/scenario.rs
@@ -4,7 +4,7 @@
 
 use clap::Parser;
 use galenapath_dev::backend::{Options, Process};
-use galenapath_dev::load::{Attempt, RequestSpec, Told};
+use galenapath_dev::load::{Attempt, CallerResult, RequestSpec};
 use galenapath_dev::scenario::{
     Compare, Condition, Executions, LinkFault, Programs, Relay, ScenarioError, check, parse,
 };
@@ -32,8 +32,9 @@
     relay
 }
 
-fn told(key: &str, attempt: Attempt) -> Told {
-    let mut told = Told::new(&RequestSpec { key: key.to_owned(), ..RequestSpec::default() });
+fn told(key: &str, attempt: Attempt) -> CallerResult {
+    let mut told =
+        CallerResult::new(&RequestSpec { key: key.to_owned(), ..RequestSpec::default() });
     told.record(attempt);
     told
 }
