--- a/crates/galenapath-dev/src/store/catalog.rs
+++ b/crates/galenapath-dev/src/store/catalog.rs
@@ -1,11 +1,11 @@
-//! The list of instances, which lags.
+//! The list of instances, in which changes become visible after a lag.
 
 use galenapath_protocol::FastMap;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// An instance as it was registered.
+/// A registered instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct Registered {
@@ -23,18 +23,18 @@
     Remove(String),
 }
 
-/// What was registered, shown only after the lag.
+/// Registered instances, visible only after the lag.
 pub(super) struct Catalog {
-    /// Index of the last shown change; starts at 1, so that a watch after 0 never waits.
+    /// Index of the last visible change; starts at 1, so that a watch after 0 never waits.
     index: u64,
-    shown: BTreeMap<String, Registered>,
-    /// Changes not yet shown, in the order they were made.
+    visible: BTreeMap<String, Registered>,
+    /// Changes not yet visible, in the order in which they were made.
     pending: VecDeque<(Instant, Change)>,
 }
 
 impl Default for Catalog {
     fn default() -> Self {
-        Self { index: 1, shown: BTreeMap::new(), pending: VecDeque::new() }
+        Self { index: 1, visible: BTreeMap::new(), pending: VecDeque::new() }
     }
 }
 
@@ -47,34 +47,34 @@
         self.pending.push_back((now, Change::Remove(id.to_owned())));
     }
 
-    /// Shows the changes older than `lag`; whether there were any.
-    pub(super) fn settle(&mut self, lag: Duration, now: Instant) -> bool {
+    /// Makes the changes visible that are at least `lag` old; returns whether there were any.
+    pub(super) fn apply_due(&mut self, lag: Duration, now: Instant) -> bool {
         let before = self.index;
         while self.pending.front().is_some_and(|(made, _)| *made + lag <= now) {
             if let Some((_, change)) = self.pending.pop_front() {
-                self.show(change);
+                self.apply(change);
             }
         }
         self.index != before
     }
 
-    /// Index that a watch compares with.
+    /// Returns the index that a watch is compared with.
     pub(super) fn position(&self) -> u64 {
         self.index
     }
 
     pub(super) fn list(&self, service: &str) -> Vec<Registered> {
-        self.shown.values().filter(|instance| instance.name == service).cloned().collect()
+        self.visible.values().filter(|instance| instance.name == service).cloned().collect()
     }
 
-    fn show(&mut self, change: Change) {
+    fn apply(&mut self, change: Change) {
         self.index += 1;
         match change {
             Change::Put(instance) => {
-                self.shown.insert(instance.id.clone(), instance);
+                self.visible.insert(instance.id.clone(), instance);
             }
             Change::Remove(id) => {
-                self.shown.remove(&id);
+                self.visible.remove(&id);
             }
         }
     }
--- a/crates/galenapath-dev/src/store/counters.rs
+++ b/crates/galenapath-dev/src/store/counters.rs
@@ -1,15 +1,15 @@
-//! Counts of the calls that the stand-in has seen.
+//! Counters of the calls to the stand-in.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Kind of a call.
+/// Kind of call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallKind {
     /// Read of a key.
     Read,
-    /// Watch of a key: one call, however long it waits.
+    /// Watch of a key; counted once, however long it waits.
     Watch,
     /// Compare-and-swap.
     Swap,
@@ -23,15 +23,15 @@
     List,
     /// Watch of the list of instances.
     ListWatch,
-    /// Announcement of an instance.
+    /// Registration of an instance.
     Register,
-    /// Withdrawal of an instance.
+    /// Deregistration of an instance.
     Deregister,
 }
 
 impl CallKind {
-    /// Whether the call writes.
-    pub fn writes(self) -> bool {
+    /// Returns whether the call is a write.
+    pub fn is_write(self) -> bool {
         match self {
             Self::Read | Self::Watch | Self::List | Self::ListWatch => false,
             Self::Swap
@@ -44,38 +44,38 @@
     }
 }
 
-/// What `GET /admin/counters` answers.
+/// Body of the answer to `GET /admin/counters`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Calls that arrived, by kind, turned away or not.
+    /// Calls received, by kind, including rejected ones.
     pub calls: BTreeMap<CallKind, u64>,
-    /// Calls turned away by the rate limits.
+    /// Calls rejected by the rate limits.
     pub limited: u64,
     /// Calls whose connection was closed while the store was down.
     pub dropped: u64,
-    /// Calls refused by the fault `deny`.
+    /// Calls rejected by the fault `deny`.
     pub denied: u64,
     /// Writes that took effect and whose reply was lost.
     pub lost_replies: u64,
-    /// Watches waiting now.
+    /// Watches that are waiting.
     pub waiting: u64,
-    /// Connections open now.
+    /// Open connections.
     pub connections: u64,
 }
 
 impl Counters {
-    /// Calls of one kind.
+    /// Returns the number of calls of one kind.
     pub fn calls(&self, kind: CallKind) -> u64 {
         self.calls.get(&kind).copied().unwrap_or(0)
     }
 
-    /// Calls of all kinds.
+    /// Returns the number of calls of all kinds.
     pub fn total(&self) -> u64 {
         self.calls.values().sum()
     }
 
-    /// Calls that write.
+    /// Returns the number of calls that are writes.
     pub fn writes(&self) -> u64 {
-        self.calls.iter().filter(|(kind, _)| kind.writes()).map(|(_, calls)| calls).sum()
+        self.calls.iter().filter(|(kind, _)| kind.is_write()).map(|(_, calls)| calls).sum()
     }
 }
--- a/crates/galenapath-dev/src/store/faults.rs
+++ b/crates/galenapath-dev/src/store/faults.rs
@@ -1,24 +1,26 @@
-//! What the stand-in does wrong.
+//! Faults of the stand-in.
 
 use serde::{Deserialize, Serialize};
 
-/// The faults in force. `PUT /admin/faults` replaces them all; what is left out is not in force.
+/// Faults in force. `PUT /admin/faults` replaces all of them; omitted faults are cleared.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Each call's connection is closed before the call has any effect; waiting watches too.
+    /// The connection of each call, including waiting watches, is closed before the call has any
+    /// effect.
     pub down: bool,
-    /// Calls are read and then held, without effect, until the fault is lifted.
+    /// Calls are read and then held without effect until the fault is cleared.
     pub frozen: bool,
-    /// Time in milliseconds that each call takes longer.
+    /// Additional time of each call, in milliseconds.
     pub slow_ms: u64,
-    /// Writes that take effect while their connection closes without an answer.
+    /// Writes that take effect, but whose connection closes without an answer.
     pub lose_replies: LoseReplies,
     /// The store goes down right after its next write has taken effect.
     pub down_after_write: bool,
-    /// Calls that are refused with status 500, without effect.
+    /// Calls that are rejected with status 500, without effect.
     pub deny: Deny,
-    /// Time in milliseconds that a change needs to show in the list; overrides the option.
+    /// Time in milliseconds until a change is visible in the list; overrides
+    /// [`StoreOptions::list_lag_ms`](super::StoreOptions::list_lag_ms).
     pub list_lag_ms: Option<u64>,
 }
 
@@ -26,28 +28,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum LoseReplies {
-    /// The next so many; counted down.
+    /// This many of the next replies; counted down.
     Next(u64),
-    /// All of them: the text `all`.
+    /// All replies, written as the text `all`.
     All(AllWord),
 }
 
-/// The word `all`.
+/// The text `all`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AllWord {
-    /// Its only value.
+    /// The only value.
     #[serde(rename = "all")]
     All,
 }
 
-/// Which calls are refused.
+/// Calls that are rejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Deny {
     /// None.
     #[default]
     None,
-    /// Reads, watches among them.
+    /// Reads, including watches.
     Reads,
     /// Writes.
     Writes,
@@ -59,13 +61,13 @@
     /// Every reply to a write is lost.
     pub const ALL: Self = Self::All(AllWord::All);
 
-    /// Whether the reply to the write at hand is lost; counts down.
-    pub(super) fn take(&mut self) -> bool {
+    /// Returns whether the reply to the current write is lost, and counts down.
+    pub(super) fn take_next(&mut self) -> bool {
         match self {
             Self::All(_) => true,
             Self::Next(0) => false,
-            Self::Next(left) => {
-                *left -= 1;
+            Self::Next(remaining) => {
+                *remaining -= 1;
                 true
             }
         }
@@ -79,12 +81,12 @@
 }
 
 impl Deny {
-    /// Whether a write, or a read, is refused.
-    pub(super) fn covers(self, write: bool) -> bool {
+    /// Returns whether a write, or otherwise a read, is rejected.
+    pub(super) fn rejects(self, is_write: bool) -> bool {
         match self {
             Self::None => false,
-            Self::Reads => !write,
-            Self::Writes => write,
+            Self::Reads => !is_write,
+            Self::Writes => is_write,
             Self::All => true,
         }
     }
--- a/crates/galenapath-dev/src/store/kv.rs
+++ b/crates/galenapath-dev/src/store/kv.rs
@@ -4,29 +4,29 @@
 use galenapath_protocol::FastMap;
 use std::time::{Duration, Instant};
 
-/// A key's value.
+/// Value and metadata of a key.
 #[derive(Clone, Debug)]
-pub(super) struct Slot {
+pub(super) struct Entry {
     pub value: Bytes,
     pub create_index: u64,
     pub modify_index: u64,
-    /// Times that the key was claimed.
+    /// Number of times that the key was claimed.
     pub lock_index: u64,
     pub session: Option<String>,
 }
 
 struct Session {
     ttl: Duration,
-    lapses: Instant,
+    expires_at: Instant,
 }
 
-/// Keys and sessions. Every change gets the next index.
+/// Keys and sessions. Every change of a key is assigned the next index.
 pub(super) struct Kv {
     /// Index of the last change; starts at 1, so that a watch after 0 never waits.
     index: u64,
-    slots: FastMap<String, Slot>,
-    /// Index of the last change of each key, deleted ones among them.
-    touched: FastMap<String, u64>,
+    entries: FastMap<String, Entry>,
+    /// Index of the last change of each key, including deleted keys.
+    last_changes: FastMap<String, u64>,
     sessions: FastMap<String, Session>,
     created_sessions: u64,
 }
@@ -35,8 +35,8 @@
     fn default() -> Self {
         Self {
             index: 1,
-            slots: FastMap::default(),
-            touched: FastMap::default(),
+            entries: FastMap::default(),
+            last_changes: FastMap::default(),
             sessions: FastMap::default(),
             created_sessions: 0,
         }
@@ -44,18 +44,19 @@
 }
 
 impl Kv {
-    pub(super) fn get(&self, key: &str) -> Option<&Slot> {
-        self.slots.get(key)
+    pub(super) fn get(&self, key: &str) -> Option<&Entry> {
+        self.entries.get(key)
     }
 
-    /// Index that a watch of `key` compares with.
+    /// Returns the index that a watch of `key` is compared with.
     pub(super) fn position(&self, key: &str) -> u64 {
-        self.touched.get(key).copied().unwrap_or(1)
+        self.last_changes.get(key).copied().unwrap_or(1)
     }
 
-    /// Writes if the key's index is `expected`; 0 stands for an absent key.
+    /// Writes the key if its index is `expected`, where 0 stands for an absent key; returns whether
+    /// it was written.
     pub(super) fn swap(&mut self, key: &str, expected: u64, value: Bytes) -> bool {
-        let current = self.slots.get(key).map_or(0, |slot| slot.modify_index);
+        let current = self.entries.get(key).map_or(0, |entry| entry.modify_index);
         if current != expected {
             return false;
         }
@@ -63,17 +64,18 @@
         true
     }
 
-    /// Writes and holds the key unless another session holds it or the session has lapsed.
+    /// Writes the key and locks it for `session`, unless another session holds it or `session` has
+    /// expired; returns whether it was written.
     pub(super) fn claim(&mut self, key: &str, session: &str, value: Bytes) -> bool {
-        let held = self.slots.get(key).and_then(|slot| slot.session.clone());
-        let taken = held.is_some_and(|holder| holder != session);
-        if taken || !self.sessions.contains_key(session) {
+        let holder = self.entries.get(key).and_then(|entry| entry.session.clone());
+        let is_held_by_other = holder.is_some_and(|holder| holder != session);
+        if is_held_by_other || !self.sessions.contains_key(session) {
             return false;
         }
-        let slot = self.put(key, value);
-        if slot.session.is_none() {
-            slot.lock_index += 1;
-            slot.session = Some(session.to_owned());
+        let entry = self.put(key, value);
+        if entry.session.is_none() {
+            entry.lock_index += 1;
+            entry.session = Some(session.to_owned());
         }
         true
     }
@@ -81,49 +83,49 @@
     pub(super) fn create_session(&mut self, ttl: Duration, now: Instant) -> String {
         self.created_sessions += 1;
         let id = format!("session-{:08x}", self.created_sessions);
-        self.sessions.insert(id.clone(), Session { ttl, lapses: now + ttl });
+        self.sessions.insert(id.clone(), Session { ttl, expires_at: now + ttl });
         id
     }
 
     pub(super) fn renew_session(&mut self, id: &str, now: Instant) -> bool {
         let Some(session) = self.sessions.get_mut(id) else { return false };
-        session.lapses = now + session.ttl;
+        session.expires_at = now + session.ttl;
         true
     }
 
-    /// Ends lapsed sessions and deletes the keys they hold; the deleted keys.
+    /// Removes expired sessions and deletes the keys that they hold; returns the deleted keys.
     pub(super) fn expire(&mut self, now: Instant) -> Vec<String> {
-        self.sessions.retain(|_, session| session.lapses > now);
+        self.sessions.retain(|_, session| session.expires_at > now);
         let sessions = &self.sessions;
-        let lapsed =
-            |slot: &Slot| slot.session.as_ref().is_some_and(|id| !sessions.contains_key(id));
+        let is_expired =
+            |entry: &Entry| entry.session.as_ref().is_some_and(|id| !sessions.contains_key(id));
         let keys: Vec<String> = self
-            .slots
+            .entries
             .iter()
-            .filter(|(_, slot)| lapsed(slot))
+            .filter(|(_, entry)| is_expired(entry))
             .map(|(key, _)| key.clone())
             .collect();
         for key in &keys {
-            self.slots.remove(key);
+            self.entries.remove(key);
             self.index += 1;
-            self.touched.insert(key.clone(), self.index);
+            self.last_changes.insert(key.clone(), self.index);
         }
         keys
     }
 
-    fn put(&mut self, key: &str, value: Bytes) -> &mut Slot {
+    fn put(&mut self, key: &str, value: Bytes) -> &mut Entry {
         self.index += 1;
         let index = self.index;
-        self.touched.insert(key.to_owned(), index);
-        let slot = self.slots.entry(key.to_owned()).or_insert_with(|| Slot {
+        self.last_changes.insert(key.to_owned(), index);
+        let entry = self.entries.entry(key.to_owned()).or_insert_with(|| Entry {
             value: Bytes::new(),
             create_index: index,
             modify_index: index,
             lock_index: 0,
             session: None,
         });
-        slot.value = value;
-        slot.modify_index = index;
-        slot
+        entry.value = value;
+        entry.modify_index = index;
+        entry
     }
 }
--- a/crates/galenapath-dev/src/store/mod.rs
+++ b/crates/galenapath-dev/src/store/mod.rs
@@ -1,8 +1,8 @@
-//! A stand-in for the platform's key-value service and list of instances.
+//! Stand-in for the platform's key-value service and list of instances.
 //!
-//! It keeps everything in memory, speaks the subset of the Consul HTTP API that galenapath uses,
-//! and misbehaves when told to: `PUT /admin/faults` replaces its [`Faults`], `GET /admin/counters`
-//! gives its [`Counters`]. The administration paths are never disturbed by faults.
+//! It keeps its state in memory and implements the subset of the Consul HTTP API that galenapath
+//! uses. `PUT /admin/faults` replaces its [`Faults`] and `GET /admin/counters` returns its
+//! [`Counters`]; faults do not affect these paths.
 
 mod catalog;
 mod counters;
--- a/crates/galenapath-dev/src/store/options.rs
+++ b/crates/galenapath-dev/src/store/options.rs
@@ -1,17 +1,17 @@
-//! Options of the stand-in.
+//! Command-line options of the stand-in.
 
 use clap::Args;
 
-/// Limits of the store; the defaults are the platform's.
+/// Limits and delays of the store; the defaults are the platform's.
 #[derive(Args, Clone, Debug)]
 pub struct StoreOptions {
-    /// Most writes per second; further ones are answered with 429.
+    /// Maximum number of writes per second; further ones are answered with 429.
     #[arg(long, default_value_t = 500)]
     pub writes_per_s: u32,
-    /// Most reads per second, watches among them; further ones are answered with 429.
+    /// Maximum number of reads per second, including watches; further ones are answered with 429.
     #[arg(long, default_value_t = 2_000)]
     pub reads_per_s: u32,
-    /// Time in milliseconds that a change needs to show in the list of instances.
+    /// Time in milliseconds until a change is visible in the list of instances.
     #[arg(long, default_value_t = 0)]
     pub list_lag_ms: u64,
     /// Time in milliseconds that each call takes.
--- a/crates/galenapath-dev/src/store/reply.rs
+++ b/crates/galenapath-dev/src/store/reply.rs
@@ -1,19 +1,19 @@
-//! Replies of the stand-in.
+//! Replies to calls.
 
 use bytes::Bytes;
 use http::{Response, StatusCode, header};
 use monoio_http::h1::payload::{FixedPayload, Payload, PayloadError};
 use serde::Serialize;
 
-/// What becomes of a call.
+/// How a call ends.
 pub(super) enum Reply {
-    /// An answer.
+    /// With an answer.
     Answer(Answer),
-    /// The connection closes without one.
+    /// The connection closes without an answer.
     Close,
 }
 
-/// An answer.
+/// Contents of an HTTP answer.
 pub(super) struct Answer {
     pub status: StatusCode,
     pub index: Option<u64>,
@@ -25,7 +25,7 @@
         Self::Answer(Answer { status, index: None, body: text.into() })
     }
 
-    pub(super) fn truth(value: bool) -> Self {
+    pub(super) fn boolean(value: bool) -> Self {
         Self::text(StatusCode::OK, if value { "true\n" } else { "false\n" })
     }
 
@@ -36,7 +36,7 @@
         }
     }
 
-    pub(super) fn at(self, index: u64) -> Self {
+    pub(super) fn with_index(self, index: u64) -> Self {
         match self {
             Self::Answer(answer) => Self::Answer(Answer { index: Some(index), ..answer }),
             Self::Close => Self::Close,
--- a/crates/galenapath-dev/src/store/routes.rs
+++ b/crates/galenapath-dev/src/store/routes.rs
@@ -1,13 +1,13 @@
-//! Calls read from their method, path and query.
+//! Parses calls from method, path and query.
 
 use super::counters::CallKind;
 use http::{Method, Uri};
 use std::time::Duration;
 
-/// Longest wait of a watch that names none.
+/// Maximum wait of a watch that states none.
 const DEFAULT_WAIT: Duration = Duration::from_secs(300);
 
-/// What a request asks for.
+/// A parsed call.
 pub(super) enum Route {
     Read { key: String },
     Watch { key: String, after: u64, wait: Duration },
@@ -25,7 +25,7 @@
 }
 
 impl Route {
-    /// Reads a request; `None` where the stand-in does not know it.
+    /// Parses a request; returns `None` if the stand-in does not support it.
     pub(super) fn parse(method: &Method, uri: &Uri) -> Option<Self> {
         let query = Query(uri.query().unwrap_or(""));
         let path = uri.path();
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The kind under which the call is counted; `None` for administration.
+    /// Returns the kind under which the call is counted; `None` for administration calls.
     pub(super) fn kind(&self) -> Option<CallKind> {
         Some(match self {
             Self::Read { .. } => CallKind::Read,
--- a/crates/galenapath-dev/src/store/server.rs
+++ b/crates/galenapath-dev/src/store/server.rs
@@ -1,4 +1,4 @@
-//! Connections of the stand-in: one task each.
+//! Serves the connections of the stand-in, one task for each.
 
 use super::catalog::Registered;
 use super::faults::Faults;
@@ -23,14 +23,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Largest value of a key.
+/// Largest value of a key, in bytes.
 const MAX_VALUE_BYTES: usize = 1 << 20;
-/// How often lapsed sessions and due list changes are looked for.
+/// Interval of checks for expired sessions and due changes of the list.
 const SWEEP_PERIOD: Duration = Duration::from_millis(10);
 
 type Shared = Rc<RefCell<State>>;
 
-/// Serves connections for ever, on a monoio runtime with a timer.
+/// Serves connections and never returns; needs a monoio runtime with a timer.
 pub async fn serve(listener: TcpListener, options: StoreOptions) {
     let state = Rc::new(RefCell::new(State::new(options, Instant::now())));
     monoio::spawn(sweep(state.clone()));
@@ -49,24 +49,24 @@
     }
 }
 
-/// Counts an open connection.
-struct Open(Shared);
+/// Counts a connection as open until it is dropped.
+struct OpenConnection(Shared);
 
-impl Open {
+impl OpenConnection {
     fn new(state: Shared) -> Self {
         state.borrow_mut().counters.connections += 1;
         Self(state)
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.borrow_mut().counters.connections -= 1;
     }
 }
 
 async fn connection(stream: TcpStream, state: Shared) {
-    let _open = Open::new(state.clone());
+    let _open_connection = OpenConnection::new(state.clone());
     let mut codec = ServerCodec::new(stream);
     while let Some(Ok(req)) = codec.next().await {
         let Some((parts, body)) = read_request(&mut codec, req).await else { return };
@@ -103,32 +103,32 @@
 async fn handle(state: &Shared, route: Route, body: Bytes) -> Reply {
     let Some(kind) = route.kind() else { return administer(state, &route, &body) };
     *state.borrow_mut().counters.calls.entry(kind).or_default() += 1;
-    if let Some(reply) = admit(state, kind.writes()).await {
+    if let Some(reply) = admit(state, kind.is_write()).await {
         return reply;
     }
-    let reply = carry_out(state, route, body).await;
+    let reply = execute(state, route, body).await;
     let mut state = state.borrow_mut();
-    if kind.writes() && state.faults.down_after_write {
+    if kind.is_write() && state.faults.down_after_write {
         state.faults.down_after_write = false;
         state.faults.down = true;
         state.fault_waiters.wake();
     }
-    if kind.writes() && state.faults.lose_replies.take() {
+    if kind.is_write() && state.faults.lose_replies.take_next() {
         state.counters.lost_replies += 1;
         return Reply::Close;
     }
     reply
 }
 
-/// Applies faults and rate limits; `Some` where the call has no effect.
-async fn admit(state: &Shared, write: bool) -> Option<Reply> {
+/// Applies faults and rate limits; returns `Some` if the call must have no effect.
+async fn admit(state: &Shared, is_write: bool) -> Option<Reply> {
     let pause = {
         let state = state.borrow();
         Duration::from_millis(state.options.call_ms + state.faults.slow_ms)
     };
     monoio::time::sleep(pause).await;
     loop {
-        let thawed = {
+        let fault_change = {
             let mut state = state.borrow_mut();
             if state.faults.down {
                 state.counters.dropped += 1;
@@ -136,19 +136,19 @@
             }
             state.faults.frozen.then(|| state.fault_waiters.wait())
         };
-        match thawed {
-            Some(thawed) => drop(thawed.await),
+        match fault_change {
+            Some(fault_change) => drop(fault_change.await),
             None => break,
         }
     }
     let mut state = state.borrow_mut();
-    if state.faults.deny.covers(write) {
+    if state.faults.deny.rejects(is_write) {
         state.counters.denied += 1;
         return Some(Reply::text(StatusCode::INTERNAL_SERVER_ERROR, "denied"));
     }
     let now = Instant::now();
-    let admitted = if write { state.writes.take(now) } else { state.reads.take(now) };
-    if !admitted {
+    let is_admitted = if is_write { state.writes.try_take(now) } else { state.reads.try_take(now) };
+    if !is_admitted {
         state.counters.limited += 1;
         return Some(Reply::text(StatusCode::TOO_MANY_REQUESTS, "rate limit"));
     }
@@ -170,28 +170,28 @@
     }
 }
 
-async fn carry_out(state: &Shared, route: Route, body: Bytes) -> Reply {
+async fn execute(state: &Shared, route: Route, body: Bytes) -> Reply {
     match route {
         Route::Read { key } => read(&state.borrow(), &key),
         Route::Watch { key, after, wait } => watch(state, &key, after, wait).await,
         Route::List { service } => list(&state.borrow(), &service),
         Route::ListWatch { service, after, wait } => list_watch(state, &service, after, wait).await,
-        write => carry_out_write(&mut state.borrow_mut(), write, body),
+        write => execute_write(&mut state.borrow_mut(), write, body),
     }
 }
 
-fn carry_out_write(state: &mut State, route: Route, body: Bytes) -> Reply {
+fn execute_write(state: &mut State, route: Route, body: Bytes) -> Reply {
     let now = Instant::now();
     match route {
         Route::Swap { key, expected } => {
             let done = state.kv.swap(&key, expected, body);
             state.wake_key(&key);
-            Reply::truth(done)
+            Reply::boolean(done)
         }
         Route::Claim { key, session } => {
             let done = state.kv.claim(&key, &session, body);
             state.wake_key(&key);
-            Reply::truth(done)
+            Reply::boolean(done)
         }
         Route::SessionCreate => create_session(state, &body, now),
         Route::SessionRenew { id } => match state.kv.renew_session(&id, now) {
@@ -225,27 +225,27 @@
 
 fn read(state: &State, key: &str) -> Reply {
     let position = state.kv.position(key);
-    let Some(slot) = state.kv.get(key) else {
-        return Reply::text(StatusCode::NOT_FOUND, "").at(position);
+    let Some(entry) = state.kv.get(key) else {
+        return Reply::text(StatusCode::NOT_FOUND, "").with_index(position);
     };
     let mut wire = json!({
         "Key": key,
         "Flags": 0,
-        "LockIndex": slot.lock_index,
-        "CreateIndex": slot.create_index,
-        "ModifyIndex": slot.modify_index,
-        "Value": STANDARD.encode(&slot.value),
+        "LockIndex": entry.lock_index,
+        "CreateIndex": entry.create_index,
+        "ModifyIndex": entry.modify_index,
+        "Value": STANDARD.encode(&entry.value),
     });
-    if let Some(session) = &slot.session {
+    if let Some(session) = &entry.session {
         wire["Session"] = json!(session);
     }
-    Reply::json(&json!([wire])).at(position)
+    Reply::json(&json!([wire])).with_index(position)
 }
 
 async fn watch(state: &Shared, key: &str, after: u64, wait: Duration) -> Reply {
     let changed = |state: &State| state.kv.position(key) > after;
     let register = |state: &mut State| state.key_waiters.entry(key.to_owned()).or_default().wait();
-    match block(state, wait, changed, register).await {
+    match wait_for_change(state, wait, changed, register).await {
         true => read(&state.borrow(), key),
         false => Reply::Close,
     }
@@ -255,20 +255,21 @@
     let instances = state.catalog.list(service);
     let wires: Vec<_> =
         instances.iter().map(|instance| json!({ "Service": instance, "Checks": [] })).collect();
-    Reply::json(&wires).at(state.catalog.position())
+    Reply::json(&wires).with_index(state.catalog.position())
 }
 
 async fn list_watch(state: &Shared, service: &str, after: u64, wait: Duration) -> Reply {
     let changed = |state: &State| state.catalog.position() > after;
     let register = |state: &mut State| state.list_waiters.wait();
-    match block(state, wait, changed, register).await {
+    match wait_for_change(state, wait, changed, register).await {
         true => list(&state.borrow(), service),
         false => Reply::Close,
     }
 }
 
-/// Waits until `changed`, at most `wait`; `false` where the store went down meanwhile.
-async fn block(
+/// Waits until `changed` returns `true` or `wait` has passed; returns `false` if the store went
+/// down meanwhile.
+async fn wait_for_change(
     state: &Shared,
     wait: Duration,
     changed: impl Fn(&State) -> bool,
@@ -281,9 +282,9 @@
             let mut state = state.borrow_mut();
             (register(&mut state), state.fault_waiters.wait())
         };
-        let left = deadline.saturating_duration_since(Instant::now());
+        let time_left = deadline.saturating_duration_since(Instant::now());
         let either = futures::future::select(change.fuse(), fault.fuse());
-        let _ = monoio::time::timeout(left, either).await;
+        let _ = monoio::time::timeout(time_left, either).await;
     }
     let mut state = state.borrow_mut();
     state.counters.waiting -= 1;
--- a/crates/galenapath-dev/src/store/state.rs
+++ b/crates/galenapath-dev/src/store/state.rs
@@ -1,4 +1,4 @@
-//! Everything the stand-in knows, shared by the tasks of its thread.
+//! State of the stand-in, shared by the tasks of its thread.
 
 use super::catalog::Catalog;
 use super::counters::Counters;
@@ -18,11 +18,11 @@
     pub catalog: Catalog,
     pub reads: RateLimit,
     pub writes: RateLimit,
-    /// Watches of each key.
+    /// Watches waiting on each key.
     pub key_waiters: FastMap<String, Waiters>,
-    /// Watches of the list.
+    /// Watches waiting on the list.
     pub list_waiters: Waiters,
-    /// Calls that a fault holds or must cut.
+    /// Calls waiting for a change of the faults: calls held by `frozen` and watches that `down` ends.
     pub fault_waiters: Waiters,
 }
 
@@ -53,10 +53,10 @@
         }
     }
 
-    /// Shows list changes that are due and ends lapsed sessions.
+    /// Makes due changes of the list visible and removes expired sessions.
     pub(super) fn sweep(&mut self, now: Instant) {
         let lag = self.faults.list_lag_ms.unwrap_or(self.options.list_lag_ms);
-        if self.catalog.settle(Duration::from_millis(lag), now) {
+        if self.catalog.apply_due(Duration::from_millis(lag), now) {
             self.list_waiters.wake();
         }
         for key in self.kv.expire(now) {
--- a/crates/galenapath-dev/src/store/waiters.rs
+++ b/crates/galenapath-dev/src/store/waiters.rs
@@ -1,15 +1,15 @@
-//! Watches that wait for a change.
+//! Tasks that wait for a change.
 
 use futures::channel::oneshot;
 
-/// Wakes the watches that wait on one thing.
+/// Set of tasks that wait for the same change.
 #[derive(Default)]
 pub(super) struct Waiters {
     waiting: Vec<oneshot::Sender<()>>,
 }
 
 impl Waiters {
-    /// Resolves at the next call of [`Waiters::wake`].
+    /// Returns a receiver that completes at the next call of [`Waiters::wake`].
     pub(super) fn wait(&mut self) -> oneshot::Receiver<()> {
         self.waiting.retain(|tx| !tx.is_canceled());
         let (tx, rx) = oneshot::channel();
@@ -19,7 +19,7 @@
 
     pub(super) fn wake(&mut self) {
         for tx in self.waiting.drain(..) {
-            // A watch that has given up needs no waking.
+            // Sending fails only if the task no longer waits.
             let _ = tx.send(());
         }
     }
