--- a/crates/galenapath-dev/src/backend/connection.rs
+++ b/crates/galenapath-dev/src/backend/connection.rs
@@ -178,8 +178,8 @@
         server.keys.borrow_mut().record(&job.key);
     }
     if let Some(mut log) = server.log.as_deref() {
-        // One write per line leaves only whole lines in the file when the process is killed. An error
-        // is ignored: if the disk is full, the test fails on the missing lines.
+        // One write per line leaves only whole lines in the file when the process is killed. An
+        // error is ignored: if the disk is full, the test fails on the missing lines.
         let line = format!("{}\t{}\t{}\n", server.spec.name, job.key, job.path);
         let _ = log.write_all(line.as_bytes());
     }
--- a/crates/galenapath-dev/src/backend/process.rs
+++ b/crates/galenapath-dev/src/backend/process.rs
@@ -65,8 +65,8 @@
         servers.chain([("admin", self.admin)])
     }
 
-    /// Serves until `stop` is set, then announces that the servers are leaving, finishes the running
-    /// requests, deregisters the servers and returns.
+    /// Serves until `stop` is set, then announces that the servers are leaving, finishes the
+    /// running requests, deregisters the servers and returns.
     pub async fn run(self, stop: Arc<AtomicBool>) {
         while !stop.load(Ordering::Relaxed) {
             sleep(STOP_POLL).await;
--- a/crates/galenapath-dev/src/backend/server.rs
+++ b/crates/galenapath-dev/src/backend/server.rs
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Returns whether [`Options::leave_after`] has passed since leaving began and no request runs or
-    /// waits.
+    /// Returns whether [`Options::leave_after`] has passed since leaving began and no request runs
+    /// or waits.
     pub fn has_left(&self) -> bool {
         let idle = self.slots.running() == 0 && self.slots.waiting() == 0;
         idle && self.leaving.get().is_some_and(|since| since.elapsed() >= self.opts.leave_after)
--- a/crates/galenapath-dev/src/backend/slots.rs
+++ b/crates/galenapath-dev/src/backend/slots.rs
@@ -85,7 +85,8 @@
             next
         };
         if let Some(tx) = next {
-            // If the waiter has left, sending returns the guard; dropping it serves the next waiter.
+            // If the waiter has left, sending returns the guard; dropping it serves the next
+            // waiter.
             let _ = tx.send(Self { slots: Rc::clone(&self.slots) });
         }
     }
--- a/crates/galenapath-dev/src/load/options.rs
+++ b/crates/galenapath-dev/src/load/options.rs
@@ -25,8 +25,8 @@
     /// Maximum number of requests of a class.
     #[arg(long, default_value_t = 1_000_000)]
     pub most: u64,
-    /// Maximum number of unanswered requests of a class; requests beyond it are not sent and counted
-    /// as unsent.
+    /// Maximum number of unanswered requests of a class; requests beyond it are not sent and
+    /// counted as unsent.
     #[arg(long, default_value_t = 4_000)]
     pub outstanding: usize,
     /// Maximum number of attempts of a request, including the first.
--- a/crates/galenapath-dev/src/scenario/users.rs
+++ b/crates/galenapath-dev/src/scenario/users.rs
@@ -4,7 +4,7 @@
 use super::error::ScenarioError;
 use super::line::Line;
 use super::run::duration;
-use crate::users_platform::{KvStandIn, ServerStandIn, ServerTrouble};
+use crate::users_platform::{KvStandIn, ServerFault, ServerStandIn};
 use crate::wire::{Conn, Framing, request_head};
 use galenapath_protocol::FastMap;
 use http::{Method, StatusCode};
@@ -89,7 +89,7 @@
     /// `cool NAME for=T`: turns a server cold, without a word in its entry.
     pub fn cool(&self, line: &Line) -> Result<(), ScenarioError> {
         let left = line.option("for").ok_or_else(|| ScenarioError::bad("no for="))?;
-        self.listed(line.word(1))?.server.turn_cold(duration(left)?, COLD_PER_SECOND);
+        self.listed(line.word(1))?.server.set_cold(duration(left)?, COLD_PER_SECOND);
         Ok(())
     }
 
@@ -117,13 +117,13 @@
     /// `trouble NAME shed|hang|errors|none`: what the server does wrong.
     pub fn trouble(&self, name: &str, what: &str) -> Result<(), ScenarioError> {
         let trouble = match what {
-            "shed" => ServerTrouble::Shed,
-            "hang" => ServerTrouble::Hang,
-            "errors" => ServerTrouble::Errors,
-            "none" => ServerTrouble::None,
+            "shed" => ServerFault::Shed,
+            "hang" => ServerFault::Hang,
+            "errors" => ServerFault::Errors,
+            "none" => ServerFault::None,
             other => return Err(ScenarioError::bad(format!("no trouble `{other}`"))),
         };
-        self.listed(name)?.server.set_trouble(trouble);
+        self.listed(name)?.server.set_fault(trouble);
         Ok(())
     }
 
@@ -206,7 +206,7 @@
     pub fn counter(&self, name: &str, field: &str) -> Option<f64> {
         let server = &self.servers.get(name)?.server;
         match field {
-            "runs" => Some(server.seen().len() as f64),
+            "runs" => Some(server.executed_requests().len() as f64),
             "crashes" => Some(server.crashes() as f64),
             "overruns" => Some(server.overruns() as f64),
             "paused_arrivals" => Some(server.arrivals_in_pause() as f64),
@@ -218,7 +218,7 @@
     pub fn check(&self) -> Result<(), ScenarioError> {
         let mut runs: FastMap<String, usize> = FastMap::default();
         for listed in self.servers.values() {
-            for seen in listed.server.seen() {
+            for seen in listed.server.executed_requests() {
                 *runs.entry(seen.id).or_default() += 1;
             }
         }
--- a/crates/galenapath-dev/src/store/state.rs
+++ b/crates/galenapath-dev/src/store/state.rs
@@ -22,7 +22,8 @@
     pub key_waiters: FastMap<String, Waiters>,
     /// Watches waiting on the list.
     pub list_waiters: Waiters,
-    /// Calls waiting for a change of the faults: calls held by `frozen` and watches that `down` ends.
+    /// Calls waiting for a change of the faults: calls held by `frozen` and watches that `down`
+    /// ends.
     pub fault_waiters: Waiters,
 }
 
--- a/crates/galenapath-dev/src/users_platform/cold.rs
+++ b/crates/galenapath-dev/src/users_platform/cold.rs
@@ -1,55 +1,55 @@
-//! A cold server, which can take few requests a second.
+//! Cold state of a server, in which it can serve only a low rate of requests.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Part of its rate over which a cold server crashes.
-const OVER: f64 = 1.5;
+/// Multiple of its rate above which a cold server crashes.
+const OVERLOAD_FACTOR: f64 = 1.5;
 
-/// Requests beyond that part.
-const SLACK: f64 = 8.0;
+/// Requests allowed beyond that multiple.
+const OVERLOAD_SLACK: f64 = 8.0;
 
-/// How cold a server is, and what it got while it was cold.
+/// Cold state of a server and the requests that it received in it.
 #[derive(Debug, Default)]
 pub(super) struct Cold {
     until: Option<Instant>,
-    /// Requests a second that it can take.
+    /// Requests per second that the server can serve while cold.
     per_second: f64,
-    /// When requests of the last second came.
-    came: VecDeque<Instant>,
-    most: usize,
+    /// Arrival times of the requests of the last second.
+    arrivals: VecDeque<Instant>,
+    peak_rate: usize,
 }
 
 impl Cold {
-    /// It turns cold.
+    /// Starts the cold state, which lasts until `until`.
     pub(super) fn begin(&mut self, until: Instant, per_second: f64) {
         self.until = Some(until);
         self.per_second = per_second;
-        self.came.clear();
+        self.arrivals.clear();
     }
 
-    /// Time for which it stays cold.
-    pub(super) fn left(&self) -> Duration {
-        let left = |until: Instant| until.saturating_duration_since(Instant::now());
-        self.until.map(left).unwrap_or_default()
+    /// Returns the remaining time of the cold state.
+    pub(super) fn time_left(&self) -> Duration {
+        let time_left = |until: Instant| until.saturating_duration_since(Instant::now());
+        self.until.map(time_left).unwrap_or_default()
     }
 
-    /// Most requests that came within a second while it was cold.
-    pub(super) fn most(&self) -> usize {
-        self.most
+    /// Returns the most requests received within one second while cold.
+    pub(super) fn peak_rate(&self) -> usize {
+        self.peak_rate
     }
 
-    /// Counts a request; returns whether it is too many.
-    pub(super) fn press(&mut self, now: Instant) -> bool {
+    /// Records a request; returns whether it exceeds what the server can serve.
+    pub(super) fn record_request(&mut self, now: Instant) -> bool {
         if self.until.is_none_or(|until| until <= now) {
             return false;
         }
-        self.came.push_back(now);
-        while self.came.front().is_some_and(|at| now - *at > Duration::from_secs(1)) {
-            self.came.pop_front();
+        self.arrivals.push_back(now);
+        while self.arrivals.front().is_some_and(|at| now - *at > Duration::from_secs(1)) {
+            self.arrivals.pop_front();
         }
-        let came = self.came.len();
-        self.most = self.most.max(came);
-        came as f64 > self.per_second * OVER + SLACK
+        let rate = self.arrivals.len();
+        self.peak_rate = self.peak_rate.max(rate);
+        rate as f64 > self.per_second * OVERLOAD_FACTOR + OVERLOAD_SLACK
     }
 }
--- a/crates/galenapath-dev/src/users_platform/kv.rs
+++ b/crates/galenapath-dev/src/users_platform/kv.rs
@@ -1,7 +1,7 @@
-//! The key-value service over HTTP.
+//! Stand-in for the key-value service, over HTTP.
 
 use super::kv_state::KvState;
-use super::thread::{listen, never};
+use super::thread::{listen, wait_forever};
 use crate::wire::{Conn, Framing, WireError, answer_head};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -13,16 +13,16 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time between two looks of a waiting watch.
-const LOOK: Duration = Duration::from_millis(2);
+/// Interval at which a waiting watch checks for changes.
+const WATCH_POLL: Duration = Duration::from_millis(2);
 
-/// Largest body that is read.
+/// Largest request body, in bytes.
 const BODY_LIMIT: usize = 2 << 20;
 
-/// What is wrong with the service at one of its addresses.
+/// Fault of the service at one of its addresses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum KvTrouble {
-    /// Nothing.
+pub enum KvFault {
+    /// No fault.
     #[default]
     None,
     /// No call is answered.
@@ -33,23 +33,24 @@
     Limited,
     /// Connections are closed.
     Reset,
-    /// Watches hear nothing, and are told at the end of their wait that the history is gone.
+    /// Watches receive no changes and are answered with 410 (history gone) at the end of their
+    /// wait.
     Deaf,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     state: KvState,
-    /// By port, since each instance of a test has an address of its own.
-    troubles: Vec<(u16, KvTrouble)>,
+    /// By port, since each instance of a test uses its own address.
+    faults: Vec<(u16, KvFault)>,
     calls: Vec<String>,
     page: usize,
-    /// A change that is made just before the next read of a prefix.
-    ambush: Option<Ambush>,
+    /// A change to apply just before the next read of a prefix.
+    pending_change: Option<PendingChange>,
 }
 
 #[derive(Debug)]
-struct Ambush {
+struct PendingChange {
     prefix: String,
     key: String,
     value: Option<Vec<u8>>,
@@ -68,11 +69,11 @@
 }
 
 impl KvStandIn {
-    /// Listens on one more address, which can be troubled by itself.
+    /// Listens on a further address, which can have its own fault.
     ///
     /// # Errors
     ///
-    /// When no address can be had.
+    /// Fails if no address can be bound.
     pub fn listen(&self) -> io::Result<SocketAddr> {
         let inner = Arc::clone(&self.inner);
         listen(move || {
@@ -82,17 +83,17 @@
         })
     }
 
-    /// Writes a key as the operator or a backend server does.
+    /// Writes a JSON value, as the operator or a backend server does.
     pub fn put(&self, key: &str, value: &Value) {
         self.put_bytes(key, value.to_string().as_bytes());
     }
 
-    /// Writes a key as any other program may.
+    /// Writes arbitrary bytes, as any other program may.
     pub fn put_bytes(&self, key: &str, value: &[u8]) {
         self.lock().state.change(key, Some(value.to_vec()));
     }
 
-    /// Revision of the newest change.
+    /// Returns the revision of the newest change.
     pub fn revision(&self) -> u64 {
         self.lock().state.revision
     }
@@ -102,30 +103,32 @@
         self.lock().state.change(key, None);
     }
 
-    /// Forgets all changes so far.
-    pub fn forget_history(&self) {
-        self.lock().state.forget_history();
+    /// Discards the history of all changes so far.
+    pub fn discard_history(&self) {
+        self.lock().state.discard_history();
     }
 
-    /// Sets how many items a page holds.
+    /// Sets the number of items in a page.
     pub fn set_page(&self, page: usize) {
         self.lock().page = page;
     }
 
-    /// Changes a key just before the next read of all keys below `prefix`; removes it without a value.
+    /// Changes a key just before the next read of the keys under `prefix`; removes it if `value` is
+    /// `None`.
     pub fn change_before_read(&self, prefix: &str, key: &str, value: Option<&Value>) {
         let value = value.map(|value| value.to_string().into_bytes());
-        self.lock().ambush = Some(Ambush { prefix: prefix.to_owned(), key: key.to_owned(), value });
+        self.lock().pending_change =
+            Some(PendingChange { prefix: prefix.to_owned(), key: key.to_owned(), value });
     }
 
-    /// Troubles one address.
-    pub fn trouble(&self, address: SocketAddr, trouble: KvTrouble) {
+    /// Sets the fault of one address.
+    pub fn set_fault(&self, address: SocketAddr, fault: KvFault) {
         let mut inner = self.lock();
-        inner.troubles.retain(|(port, _)| *port != address.port());
-        inner.troubles.push((address.port(), trouble));
+        inner.faults.retain(|(port, _)| *port != address.port());
+        inner.faults.push((address.port(), fault));
     }
 
-    /// Method and path of every call so far.
+    /// Returns method and path of every call so far.
     pub fn calls(&self) -> Vec<String> {
         self.lock().calls.clone()
     }
@@ -152,16 +155,16 @@
     let path = head.uri.path().to_owned();
     let query = Query::parse(head.uri.query().unwrap_or_default());
     lock(inner).calls.push(format!("{} {path}", head.method));
-    let trouble = trouble_at(inner, port);
-    let (status, answer) = match trouble {
-        KvTrouble::None | KvTrouble::Deaf if path == "/-/kv-watch" => {
+    let fault = fault_at(inner, port);
+    let (status, answer) = match fault {
+        KvFault::None | KvFault::Deaf if path == "/-/kv-watch" => {
             watch(inner, port, &query).await?
         }
-        KvTrouble::None | KvTrouble::Deaf => call(inner, &path, &query, &body),
-        KvTrouble::Busy => (StatusCode::SERVICE_UNAVAILABLE, json!({})),
-        KvTrouble::Limited => (StatusCode::TOO_MANY_REQUESTS, json!({})),
-        KvTrouble::Reset => return Err(WireError::Closed),
-        KvTrouble::Silent => never().await,
+        KvFault::None | KvFault::Deaf => call(inner, &path, &query, &body),
+        KvFault::Busy => (StatusCode::SERVICE_UNAVAILABLE, json!({})),
+        KvFault::Limited => (StatusCode::TOO_MANY_REQUESTS, json!({})),
+        KvFault::Reset => return Err(WireError::Closed),
+        KvFault::Silent => wait_forever().await,
     };
     let body = answer.to_string();
     let length = body.len().to_string();
@@ -169,10 +172,10 @@
     conn.write(answer_head(status, &headers) + &body).await
 }
 
-fn trouble_at(inner: &Mutex<Inner>, port: u16) -> KvTrouble {
+fn fault_at(inner: &Mutex<Inner>, port: u16) -> KvFault {
     let inner = lock(inner);
-    let found = inner.troubles.iter().find(|(at, _)| *at == port);
-    found.map(|(_, trouble)| *trouble).unwrap_or_default()
+    let found = inner.faults.iter().find(|(at, _)| *at == port);
+    found.map(|(_, fault)| *fault).unwrap_or_default()
 }
 
 fn call(inner: &Mutex<Inner>, path: &str, query: &Query, body: &[u8]) -> (StatusCode, Value) {
@@ -183,8 +186,8 @@
             None => (StatusCode::NOT_FOUND, json!({})),
         },
         "/-/kv-range" => {
-            if let Some(Ambush { key, value, .. }) =
-                inner.ambush.take_if(|ambush| ambush.prefix == query.prefix)
+            if let Some(PendingChange { key, value, .. }) =
+                inner.pending_change.take_if(|pending_change| pending_change.prefix == query.prefix)
             {
                 inner.state.change(&key, value);
             }
@@ -212,11 +215,11 @@
     let until = Instant::now() + Duration::from_millis(query.wait_ms);
     let after = query.after.parse().unwrap_or(0);
     loop {
-        let is_deaf = trouble_at(inner, port) == KvTrouble::Deaf;
-        if is_deaf && Instant::now() >= until {
+        let is_watch_blocked = fault_at(inner, port) == KvFault::Deaf;
+        if is_watch_blocked && Instant::now() >= until {
             return Ok((StatusCode::GONE, json!({})));
         }
-        if !is_deaf {
+        if !is_watch_blocked {
             let inner = lock(inner);
             let Some(events) = inner.state.events(&query.prefix, after) else {
                 return Ok((StatusCode::GONE, json!({})));
@@ -226,11 +229,11 @@
                 return Ok((StatusCode::OK, answer));
             }
         }
-        monoio::time::sleep(LOOK).await;
-        match trouble_at(inner, port) {
-            KvTrouble::Silent => never().await,
-            KvTrouble::Reset => return Err(WireError::Closed),
-            KvTrouble::None | KvTrouble::Deaf | KvTrouble::Busy | KvTrouble::Limited => {}
+        monoio::time::sleep(WATCH_POLL).await;
+        match fault_at(inner, port) {
+            KvFault::Silent => wait_forever().await,
+            KvFault::Reset => return Err(WireError::Closed),
+            KvFault::None | KvFault::Deaf | KvFault::Busy | KvFault::Limited => {}
         }
     }
 }
--- a/crates/galenapath-dev/src/users_platform/kv_state.rs
+++ b/crates/galenapath-dev/src/users_platform/kv_state.rs
@@ -1,11 +1,11 @@
-//! Keys, their history and the rules of the key-value stand-in.
+//! State of the key-value stand-in: keys and the history of their changes.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// A change of one key.
+/// A change of one key; without a value if it was removed.
 #[derive(Clone, Debug)]
 struct Change {
     revision: u64,
@@ -21,13 +21,13 @@
     pub(super) revision: u64,
     items: BTreeMap<String, (u64, Vec<u8>)>,
     history: Vec<Change>,
-    /// Changes up to this revision are forgotten.
-    forgotten: u64,
+    /// Revision up to which the history is discarded.
+    discarded_up_to: u64,
 }
 
 impl Default for KvState {
     fn default() -> Self {
-        Self { revision: 100, items: BTreeMap::new(), history: Vec::new(), forgotten: 0 }
+        Self { revision: 100, items: BTreeMap::new(), history: Vec::new(), discarded_up_to: 0 }
     }
 }
 
@@ -44,10 +44,11 @@
         self.history.push(Change { revision: self.revision, key: key.to_owned(), value });
     }
 
-    /// Forgets the history with a change of a key that nobody reads, so that no watch goes on.
-    pub(super) fn forget_history(&mut self) {
+    /// Discards the history and increments the revision, so that no watch can continue from an
+    /// earlier one.
+    pub(super) fn discard_history(&mut self) {
         self.revision += 1;
-        self.forgotten = self.revision;
+        self.discarded_up_to = self.revision;
         self.history.clear();
     }
 
@@ -73,9 +74,9 @@
         })
     }
 
-    /// Changes after a revision; `None` where they are forgotten.
+    /// Returns the changes after a revision; `None` if they are discarded.
     pub(super) fn events(&self, prefix: &str, after: u64) -> Option<Vec<Value>> {
-        if after < self.forgotten {
+        if after < self.discarded_up_to {
             return None;
         }
         let new = self.history.iter().filter(|c| c.revision > after && c.key.starts_with(prefix));
--- a/crates/galenapath-dev/src/users_platform/mod.rs
+++ b/crates/galenapath-dev/src/users_platform/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of the users' platform: its key-value service and its backend servers, each on a
-//! thread of its own, with faults that a test sets while they run.
+//! Stand-ins for the users' platform: its key-value service and its backend servers. Each runs on
+//! its own thread, with faults that a test sets while it runs.
 
 mod cold;
 mod kv;
@@ -10,5 +10,5 @@
 mod server;
 mod thread;
 
-pub use kv::{KvStandIn, KvTrouble};
-pub use server::{Seen, ServerStandIn, ServerTrouble};
+pub use kv::{KvFault, KvStandIn};
+pub use server::{ExecutedRequest, ServerFault, ServerStandIn};
--- a/crates/galenapath-dev/src/users_platform/pause.rs
+++ b/crates/galenapath-dev/src/users_platform/pause.rs
@@ -1,14 +1,15 @@
-//! A server that turns requests away and says for how long it wants nothing.
+//! Pause of a server: it rejects requests and states for how long it asks for none.
 
 use std::time::{Duration, Instant};
 
-/// Time after its answer from which what comes counts: that was not on its way before.
-const SETTLES: Duration = Duration::from_millis(500);
+/// Time after a rejection until arrivals are counted, so that those already on their way do not
+/// count.
+const SETTLING_TIME: Duration = Duration::from_millis(500);
 
-/// For how long a server wants nothing, and what it got meanwhile.
+/// Pause that a server states, and the requests and load queries received during it.
 #[derive(Debug, Default)]
 pub(super) struct Pause {
-    /// What it says with each request that it turns away.
+    /// Duration stated with each rejection.
     stated: Option<Duration>,
     counts_from: Option<Instant>,
     until: Option<Instant>,
@@ -16,22 +17,22 @@
 }
 
 impl Pause {
-    /// Says so from now on with each request that it turns away, or no more.
-    pub(super) fn state(&mut self, stated: Option<Duration>) {
+    /// Sets the duration stated with each rejection; `None` states none.
+    pub(super) fn set_stated(&mut self, stated: Option<Duration>) {
         self.stated = stated;
     }
 
-    /// It turns a request away now; returns what it says.
+    /// Starts or extends the pause as a request is rejected; returns the header value to send.
     pub(super) fn begin(&mut self) -> Option<String> {
         let stated = self.stated?;
         let now = Instant::now();
-        self.counts_from.get_or_insert(now + SETTLES);
+        self.counts_from.get_or_insert(now + SETTLING_TIME);
         self.until = self.until.max(Some(now + stated));
         Some(stated.as_secs_f64().to_string())
     }
 
-    /// Counts a request or a question.
-    pub(super) fn arrived(&mut self) {
+    /// Records a request or a load query.
+    pub(super) fn record_arrival(&mut self) {
         let now = Instant::now();
         let has_settled = self.counts_from.is_some_and(|from| now >= from);
         let is_over = self.until.is_none_or(|until| now >= until);
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Requests and questions that came while it wanted nothing.
+    /// Returns the number of requests and load queries received during pauses.
     pub(super) fn arrivals(&self) -> usize {
         self.arrivals
     }
--- a/crates/galenapath-dev/src/users_platform/serve.rs
+++ b/crates/galenapath-dev/src/users_platform/serve.rs
@@ -1,20 +1,20 @@
-//! How a server of the users' platform answers requests and questions.
+//! Serves requests and load queries of a server of the users' platform.
 
-use super::server::{DOWN, Inner, Seen, ServerTrouble, lock};
-use super::thread::never;
+use super::server::{DOWNTIME, ExecutedRequest, Inner, ServerFault, lock};
+use super::thread::wait_forever;
 use crate::wire::{Conn, Framing, WireError, answer_head};
 use http::{HeaderMap, StatusCode};
 use monoio::net::TcpStream;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Largest body that is read.
+/// Largest request body, in bytes.
 const BODY_LIMIT: usize = 8 << 20;
 
-/// Idle time after which a server that forgets does so.
-const IDLE: Duration = Duration::from_millis(300);
+/// Idle time after which [`ServerFault::ForgetsIdle`] closes a connection.
+const IDLE_LIMIT: Duration = Duration::from_millis(300);
 
-/// Counts a running request; dropping it takes it off.
+/// Ends the count of a running request when dropped.
 struct Running<'a>(&'a Mutex<Inner>);
 
 impl Drop for Running<'_> {
@@ -23,73 +23,78 @@
     }
 }
 
-/// Serves one connection until it ends.
+/// Serves one connection until it closes.
 pub(super) async fn serve(inner: Arc<Mutex<Inner>>, io: TcpStream) {
-    let greeting = {
+    let accept_delay = {
         let mut inner = lock(&inner);
         inner.connections += 1;
-        inner.greeting
+        inner.accept_delay
     };
-    monoio::time::sleep(greeting).await;
+    monoio::time::sleep(accept_delay).await;
     let mut conn = Conn::new(io);
-    let mut used = Instant::now();
-    while serve_one(&inner, &mut conn, used).await.is_ok() {
-        used = Instant::now();
+    let mut last_used = Instant::now();
+    while serve_one(&inner, &mut conn, last_used).await.is_ok() {
+        last_used = Instant::now();
     }
 }
 
-async fn serve_one(inner: &Mutex<Inner>, conn: &mut Conn, used: Instant) -> Result<(), WireError> {
+async fn serve_one(
+    inner: &Mutex<Inner>,
+    conn: &mut Conn,
+    last_used: Instant,
+) -> Result<(), WireError> {
     let head = conn.read_request().await?;
     let mut framing = Framing::of_request(&head.headers);
     let body = conn.read_body(&mut framing, BODY_LIMIT).await?;
-    let trouble = lock(inner).trouble;
+    let fault = lock(inner).fault;
     if lock(inner).down_until.is_some_and(|until| Instant::now() < until) {
         return Err(WireError::Closed);
     }
-    if trouble == ServerTrouble::ForgetsIdle && used.elapsed() > IDLE {
+    if fault == ServerFault::ForgetsIdle && last_used.elapsed() > IDLE_LIMIT {
         return Err(WireError::Closed);
     }
-    lock(inner).pause.arrived();
+    lock(inner).pause.record_arrival();
     if head.uri.path() == "/health" {
         lock(inner).probes += 1;
         return health(inner, conn).await;
     }
-    let told = |name: &str| text(&head.headers, name).to_owned();
-    let id = told("x-attempt-id");
-    let expected = told("x-expected-instance");
-    if trouble == ServerTrouble::Other || (!expected.is_empty() && expected != lock(inner).id) {
-        return plain(conn, StatusCode::MISDIRECTED_REQUEST, &[("x-instance-id", "i-other")]).await;
+    let header = |name: &str| text(&head.headers, name).to_owned();
+    let id = header("x-attempt-id");
+    let expected = header("x-expected-instance");
+    if fault == ServerFault::Other || (!expected.is_empty() && expected != lock(inner).id) {
+        return send_plain(conn, StatusCode::MISDIRECTED_REQUEST, &[("x-instance-id", "i-other")])
+            .await;
     }
-    if trouble == ServerTrouble::Shed {
+    if fault == ServerFault::Shed {
         let mut headers = vec![("x-not-executed", "1")];
-        headers.extend(leaving(inner));
+        headers.extend(leaving_header(inner));
         let pause = lock(inner).pause.begin();
         headers.extend(pause.as_deref().map(|seconds| ("retry-after", seconds)));
-        return plain(conn, StatusCode::SERVICE_UNAVAILABLE, &headers).await;
+        return send_plain(conn, StatusCode::SERVICE_UNAVAILABLE, &headers).await;
     }
     let line = format!("{} {}", head.method, head.uri);
-    let left_ms = told("x-request-deadline-ms").parse().unwrap_or(0);
+    let left_ms = header("x-request-deadline-ms").parse().unwrap_or(0);
     let work = {
         let mut inner = lock(inner);
-        inner.press();
+        inner.record_request();
         if inner.down_until.is_some_and(|until| Instant::now() < until) {
             return Err(WireError::Closed);
         }
-        inner.seen.push(Seen { line, id: id.clone(), left_ms, body });
+        inner.executed.push(ExecutedRequest { line, id: id.clone(), left_ms, body });
         inner.running += 1;
         inner.work * inner.pace / 100
     };
     let running = Running(inner);
-    if trouble == ServerTrouble::CrashesOnPoison && head.uri.path().contains("poison") {
-        lock(inner).down_until = Some(Instant::now() + DOWN);
+    if fault == ServerFault::CrashesOnPoison && head.uri.path().contains("poison") {
+        lock(inner).down_until = Some(Instant::now() + DOWNTIME);
         return Err(WireError::Closed);
     }
     run(inner, conn, work).await?;
     drop(running);
-    answer(inner, conn, trouble, &id).await
+    answer(inner, conn, fault, &id).await
 }
 
-/// Works, unless the connection closes first.
+/// Waits for the work time; fails if the connection closes first.
 async fn run(inner: &Mutex<Inner>, conn: &mut Conn, work: Duration) -> Result<(), WireError> {
     let worked = std::pin::pin!(monoio::time::sleep(work));
     let closed = std::pin::pin!(conn.closed());
@@ -105,40 +110,41 @@
 async fn answer(
     inner: &Mutex<Inner>,
     conn: &mut Conn,
-    trouble: ServerTrouble,
+    fault: ServerFault,
     id: &str,
 ) -> Result<(), WireError> {
     let body = "x".repeat(lock(inner).body);
-    let good = whole(inner, StatusCode::OK, id, &body);
-    match trouble {
-        ServerTrouble::Mute => Err(WireError::Closed),
-        ServerTrouble::Hang => never().await,
-        ServerTrouble::Errors => {
-            conn.write(whole(inner, StatusCode::INTERNAL_SERVER_ERROR, id, "failed")).await
+    let success = signed_answer(inner, StatusCode::OK, id, &body);
+    match fault {
+        ServerFault::Mute => Err(WireError::Closed),
+        ServerFault::Hang => wait_forever().await,
+        ServerFault::Errors => {
+            conn.write(signed_answer(inner, StatusCode::INTERNAL_SERVER_ERROR, id, "failed")).await
         }
-        ServerTrouble::Busy => {
+        ServerFault::Busy => {
             let pause = lock(inner).pause.begin();
             let headers: Vec<_> = pause.iter().map(|s| ("retry-after", s.as_str())).collect();
-            plain(conn, StatusCode::SERVICE_UNAVAILABLE, &headers).await
+            send_plain(conn, StatusCode::SERVICE_UNAVAILABLE, &headers).await
         }
-        ServerTrouble::Unsigned => plain(conn, StatusCode::OK, &[("x-attempt-id", id)]).await,
-        ServerTrouble::BreaksOff => {
-            conn.write(good[..good.len() - 1].to_owned()).await?;
+        ServerFault::Unsigned => send_plain(conn, StatusCode::OK, &[("x-attempt-id", id)]).await,
+        ServerFault::BreaksOff => {
+            conn.write(success[..success.len() - 1].to_owned()).await?;
             Err(WireError::Closed)
         }
-        ServerTrouble::Extra => conn.write(good.clone() + &good).await,
-        ServerTrouble::Foreign => {
-            conn.write(whole(inner, StatusCode::OK, "another", "not yours") + &good).await
+        ServerFault::Extra => conn.write(success.clone() + &success).await,
+        ServerFault::Foreign => {
+            conn.write(signed_answer(inner, StatusCode::OK, "another", "not yours") + &success)
+                .await
         }
-        ServerTrouble::None
-        | ServerTrouble::Shed
-        | ServerTrouble::Other
-        | ServerTrouble::CrashesOnPoison
-        | ServerTrouble::ForgetsIdle => conn.write(good).await,
+        ServerFault::None
+        | ServerFault::Shed
+        | ServerFault::Other
+        | ServerFault::CrashesOnPoison
+        | ServerFault::ForgetsIdle => conn.write(success).await,
     }
 }
 
-fn whole(inner: &Mutex<Inner>, status: StatusCode, id: &str, body: &str) -> String {
+fn signed_answer(inner: &Mutex<Inner>, status: StatusCode, id: &str, body: &str) -> String {
     let load = load(inner);
     let length = body.len().to_string();
     let mut headers = vec![
@@ -147,13 +153,13 @@
         ("x-backend-load", load.as_str()),
         ("content-length", length.as_str()),
     ];
-    let limit = lock(inner).limit.text();
+    let limit = lock(inner).limit.header_value();
     headers.extend(limit.as_deref().map(|limit| ("server-limit", limit)));
-    headers.extend(leaving(inner));
+    headers.extend(leaving_header(inner));
     answer_head(status, &headers) + body
 }
 
-async fn plain(
+async fn send_plain(
     conn: &mut Conn,
     status: StatusCode,
     headers: &[(&str, &str)],
@@ -167,25 +173,25 @@
     let load = load(inner);
     let (id, cold_ms) = {
         let inner = lock(inner);
-        (inner.id.clone(), inner.cold.left().as_millis().to_string())
+        (inner.id.clone(), inner.cold.time_left().as_millis().to_string())
     };
     let mut headers = vec![
         ("x-instance-id", id.as_str()),
         ("x-backend-load", load.as_str()),
         ("x-warmup-ms", cold_ms.as_str()),
     ];
-    let leaving = leaving(inner);
-    let limit = lock(inner).limit.text();
-    if lock(inner).tells_askers {
-        headers.extend(leaving);
+    let leaving_header = leaving_header(inner);
+    let limit = lock(inner).limit.header_value();
+    if lock(inner).reports_state_in_probes {
+        headers.extend(leaving_header);
         headers.extend(limit.as_deref().map(|limit| ("server-limit", limit)));
     }
-    let status = leaving.map_or(StatusCode::OK, |_| StatusCode::SERVICE_UNAVAILABLE);
-    plain(conn, status, &headers).await
+    let status = leaving_header.map_or(StatusCode::OK, |_| StatusCode::SERVICE_UNAVAILABLE);
+    send_plain(conn, status, &headers).await
 }
 
-/// The header of a server that leaves.
-fn leaving(inner: &Mutex<Inner>) -> Option<(&'static str, &'static str)> {
+/// Returns the header by which the server states that it is leaving.
+fn leaving_header(inner: &Mutex<Inner>) -> Option<(&'static str, &'static str)> {
     lock(inner).is_leaving.then_some(("server-leaving", "1"))
 }
 
--- a/crates/galenapath-dev/src/users_platform/server.rs
+++ b/crates/galenapath-dev/src/users_platform/server.rs
@@ -1,4 +1,5 @@
-//! A backend server that signs its answers and tells its load and the pace of its machine.
+//! Stand-in for a backend server that signs its answers and reports its load and the pace of its
+//! machine.
 
 use super::cold::Cold;
 use super::limit::Limit;
@@ -12,94 +13,95 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time for which a crashed server is down.
-pub(super) const DOWN: Duration = Duration::from_secs(1);
+/// Time that a crashed server stays down.
+pub(super) const DOWNTIME: Duration = Duration::from_secs(1);
 
-/// What a server does wrong with requests; its health answers stay good.
+/// Fault of a server in handling requests; its health answers stay correct.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ServerTrouble {
-    /// Nothing.
+pub enum ServerFault {
+    /// No fault.
     #[default]
     None,
-    /// Refuses and says that it did not run the request.
+    /// Rejects the request and states that it did not run it.
     Shed,
-    /// Runs the request and closes without an answer.
+    /// Runs the request and closes the connection without an answer.
     Mute,
     /// Runs the request and never answers.
     Hang,
-    /// Fails with status 500.
+    /// Runs the request and answers with status 500.
     Errors,
     /// Answers without a signature.
     Unsigned,
-    /// Answers with a length and breaks off.
+    /// Closes the connection before the last byte of the answer.
     BreaksOff,
     /// Sends a second answer after the first.
     Extra,
-    /// Sends the answer to another request first.
+    /// Sends the answer to another request before the right one.
     Foreign,
-    /// Says 503 without saying that it did not run the request.
+    /// Runs the request and answers with status 503, without stating whether it ran.
     Busy,
-    /// Belongs to another service now.
+    /// Answers as another instance (status 421): its address now belongs to a different server.
     Other,
-    /// Crashes when it begins to run a request whose path names `poison`, and is back after a second.
+    /// Crashes when it starts to run a request whose path contains `poison`; restarts after one
+    /// second.
     CrashesOnPoison,
-    /// Closes a connection that was idle for 300 ms when the next request comes on it.
+    /// Closes a connection that was idle for more than 300 ms when the next request arrives on it.
     ForgetsIdle,
 }
 
 /// A request that a server ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ExecutedRequest {
     /// Method and path.
     pub line: String,
-    /// The caller's identifier.
+    /// Identifier of the attempt, as set by the caller.
     pub id: String,
-    /// Milliseconds left, as told.
+    /// Remaining deadline in milliseconds, as sent by the caller.
     pub left_ms: u64,
-    /// The body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
-/// What a server is and has got.
+/// State of a server and records of what it received.
 #[derive(Debug)]
 pub(super) struct Inner {
     pub(super) id: String,
-    pub(super) trouble: ServerTrouble,
+    pub(super) fault: ServerFault,
     pub(super) work: Duration,
-    /// Pace of the machine in percent.
+    /// Pace of the machine in percent: 200 means that work takes twice as long.
     pub(super) pace: u32,
     pub(super) body: usize,
-    /// Time for which a new connection waits before it is served.
-    pub(super) greeting: Duration,
+    /// Delay before a new connection is served.
+    pub(super) accept_delay: Duration,
     pub(super) running: u32,
-    pub(super) seen: Vec<Seen>,
+    pub(super) executed: Vec<ExecutedRequest>,
     pub(super) probes: usize,
     pub(super) connections: usize,
     pub(super) cancelled: usize,
-    /// Until when the server is down.
+    /// Time until which the server is down after a crash.
     pub(super) down_until: Option<Instant>,
     pub(super) cold: Cold,
     pub(super) crashes: usize,
     pub(super) limit: Limit,
     pub(super) pause: Pause,
     pub(super) is_leaving: bool,
-    /// Whether answers to questions say of limit and leaving what those to requests say.
-    pub(super) tells_askers: bool,
+    /// Whether answers to load queries state the rate limit and leaving, as those to requests do.
+    pub(super) reports_state_in_probes: bool,
 }
 
 impl Inner {
-    /// Counts a request; the server crashes when it is cold and gets too many.
-    pub(super) fn press(&mut self) {
+    /// Records a request; the server crashes if it is cold and receives too many.
+    pub(super) fn record_request(&mut self) {
         let now = Instant::now();
-        self.limit.press(now);
-        if self.cold.press(now) {
+        self.limit.record_request(now);
+        if self.cold.record_request(now) {
             self.crashes += 1;
-            self.down_until = Some(now + DOWN);
+            self.down_until = Some(now + DOWNTIME);
         }
     }
 }
 
-/// A running server.
+/// A running server stand-in.
 #[derive(Clone, Debug)]
 pub struct ServerStandIn {
     inner: Arc<Mutex<Inner>>,
@@ -107,21 +109,21 @@
 }
 
 impl ServerStandIn {
-    /// Starts a server with six slots whose work takes `work`.
+    /// Starts a server with six slots, whose requests take `work`.
     ///
     /// # Errors
     ///
-    /// When no address can be had.
+    /// Fails if no address can be bound.
     pub fn start(id: &str, work: Duration) -> io::Result<Self> {
         let inner = Arc::new(Mutex::new(Inner {
             id: id.to_owned(),
-            trouble: ServerTrouble::None,
+            fault: ServerFault::None,
             work,
             pace: 100,
             body: 20,
-            greeting: Duration::ZERO,
+            accept_delay: Duration::ZERO,
             running: 0,
-            seen: Vec::new(),
+            executed: Vec::new(),
             probes: 0,
             connections: 0,
             cancelled: 0,
@@ -131,7 +133,7 @@
             limit: Limit::default(),
             pause: Pause::default(),
             is_leaving: false,
-            tells_askers: false,
+            reports_state_in_probes: false,
         }));
         let shared = Arc::clone(&inner);
         let address = listen(move || {
@@ -142,12 +144,12 @@
         Ok(Self { inner, address })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The server's entry in the store, and its key.
+    /// Returns the key and the value of the server's entry in the store.
     pub fn entry(&self, service: &str, state: &str) -> (String, Value) {
         let id = self.lock().id.clone();
         let entry = json!({
@@ -157,105 +159,107 @@
         (format!("servers/{id}"), entry)
     }
 
-    /// The same of a run that started at `started`, in Unix milliseconds.
+    /// Returns the same for a process run that started at `started`, in Unix milliseconds.
     pub fn entry_of_run(&self, service: &str, state: &str, started: u64) -> (String, Value) {
         let (key, mut entry) = self.entry(service, state);
         entry["born"] = json!(started);
         (key, entry)
     }
 
-    /// Sets what it does wrong.
-    pub fn set_trouble(&self, trouble: ServerTrouble) {
-        self.lock().trouble = trouble;
+    /// Sets the fault in force.
+    pub fn set_fault(&self, fault: ServerFault) {
+        self.lock().fault = fault;
     }
 
-    /// Sets how long its work takes.
+    /// Sets the work time of a request.
     pub fn set_work(&self, work: Duration) {
         self.lock().work = work;
     }
 
-    /// Sets the pace of its machine in percent; work that begins takes so much longer.
+    /// Sets the pace of the machine in percent of the usual work time, for requests that start
+    /// later.
     pub fn set_pace(&self, pace: u32) {
         self.lock().pace = pace;
     }
 
-    /// Turns it cold for `left`: it says so to those that ask, and crashes when it gets many more than
-    /// `per_second` requests a second.
-    pub fn turn_cold(&self, left: Duration, per_second: f64) {
-        self.lock().cold.begin(Instant::now() + left, per_second);
+    /// Makes the server cold for `duration`: it reports so in answers to load queries, and crashes
+    /// if it receives many more than `per_second` requests per second.
+    pub fn set_cold(&self, duration: Duration, per_second: f64) {
+        self.lock().cold.begin(Instant::now() + duration, per_second);
     }
 
-    /// Most requests that came within a second while it was cold.
-    pub fn most_cold(&self) -> usize {
-        self.lock().cold.most()
+    /// Returns the most requests received within one second while cold.
+    pub fn peak_rate_while_cold(&self) -> usize {
+        self.lock().cold.peak_rate()
     }
 
-    /// How often it crashed because it was cold and got too many requests.
+    /// Returns the number of crashes caused by too many requests while cold.
     pub fn crashes(&self) -> usize {
         self.lock().crashes
     }
 
-    /// Names a limit of requests a second in its answers to requests, or none any more.
+    /// Sets the rate limit in requests per second that answers to requests state; `None` removes
+    /// it.
     pub fn set_limit(&self, per_second: Option<f64>) {
         self.lock().limit.set(per_second);
     }
 
-    /// Says for how long it wants nothing with each request that it turns away with status 503, or no more.
+    /// Sets the pause that each answer with status 503 states; `None` states none.
     pub fn set_pause(&self, stated: Option<Duration>) {
-        self.lock().pause.state(stated);
+        self.lock().pause.set_stated(stated);
     }
 
-    /// Requests and questions that came while it wanted nothing.
+    /// Returns the number of requests and load queries received during stated pauses.
     pub fn arrivals_in_pause(&self) -> usize {
         self.lock().pause.arrivals()
     }
 
-    /// Says in its answers to requests that it leaves, or no more.
+    /// Sets whether answers to requests state that the server is leaving.
     pub fn set_leaving(&self, is_leaving: bool) {
         self.lock().is_leaving = is_leaving;
     }
 
-    /// Says in its answers to questions as well whether it leaves and what limit it names.
-    pub fn tell_askers(&self) {
-        self.lock().tells_askers = true;
+    /// Makes answers to load queries state leaving and the rate limit as well.
+    pub fn report_state_in_probes(&self) {
+        self.lock().reports_state_in_probes = true;
     }
 
-    /// Most requests that came within four seconds while it named a limit.
-    pub fn most_limited(&self) -> usize {
-        self.lock().limit.most()
+    /// Returns the most requests received within four seconds while a limit was stated.
+    pub fn peak_requests_while_limited(&self) -> usize {
+        self.lock().limit.peak_requests()
     }
 
-    /// Requests that came although the limit that it named left no room for them.
+    /// Returns the number of requests received beyond what the stated limit allowed.
     pub fn overruns(&self) -> usize {
         self.lock().limit.overruns()
     }
 
-    /// Sets the length of its answers.
+    /// Sets the length of the answer bodies, in bytes.
     pub fn set_body(&self, bytes: usize) {
         self.lock().body = bytes;
     }
 
-    /// Lets new connections wait for `greeting` before they are served, as at a server without a free slot.
-    pub fn set_greeting(&self, greeting: Duration) {
-        self.lock().greeting = greeting;
+    /// Sets the delay before a new connection is served, as on a server without a free slot.
+    pub fn set_accept_delay(&self, accept_delay: Duration) {
+        self.lock().accept_delay = accept_delay;
     }
 
-    /// Connections opened to it.
+    /// Returns the number of connections opened to the server.
     pub fn connections(&self) -> usize {
         self.lock().connections
     }
 
-    /// Requests that it ran.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.lock().seen.clone()
+    /// Returns the requests that the server ran.
+    pub fn executed_requests(&self) -> Vec<ExecutedRequest> {
+        self.lock().executed.clone()
     }
 
-    /// Health answers so far.
+    /// Returns the number of load queries received.
     pub fn probes(&self) -> usize {
         self.lock().probes
     }
 
-    /// Requests whose connection closed before they were done.
+    /// Returns the number of requests whose connection closed while they ran.
     pub fn cancelled(&self) -> usize {
         self.lock().cancelled
     }
--- a/tests/gateway/evacuation.rs
+++ b/tests/gateway/evacuation.rs
@@ -1,7 +1,7 @@
 //! Failure domains that the operator evacuates and restores.
 
 use crate::support::{Gateway, World, config, wait_until};
-use galenapath_dev::users_platform::KvTrouble;
+use galenapath_dev::users_platform::KvFault;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
@@ -10,11 +10,11 @@
 
 /// Sends lookups and returns how many of them the first server ran, which is in `d1` as all instances are.
 fn reach_first(world: &World, gateway: &Gateway, name: &str) -> usize {
-    let before = world.of("look")[0].seen().len();
+    let before = world.of("look")[0].executed_requests().len();
     for n in 0..12 {
         assert_eq!(gateway.look(&format!("{name}{n}")).status, 200, "{name}");
     }
-    world.of("look")[0].seen().len() - before
+    world.of("look")[0].executed_requests().len() - before
 }
 
 /// An instance that has run for long enough to probe servers and to warm cold ones.
@@ -60,7 +60,7 @@
     assert_eq!(reach_first(&world, &first, "a"), 0);
     // And to one that the store does not answer.
     let second = Gateway::start(&world, &[&first]);
-    world.store.trouble(second.store, KvTrouble::Silent);
+    world.store.set_fault(second.store, KvFault::Silent);
     wait_until("readiness", || second.is_ready());
     assert_eq!(reach_first(&world, &second, "b"), 0);
 }
@@ -96,7 +96,7 @@
                 scope.spawn(move || gateway.file(&format!("p{n}")))
             })
             .collect();
-        wait_until("filings at d1", || !world.of("file")[0].seen().is_empty());
+        wait_until("filings at d1", || !world.of("file")[0].executed_requests().is_empty());
         world.evacuate("d1");
         calls.into_iter().map(|call| call.join().unwrap().status).collect::<Vec<_>>()
     });
@@ -126,18 +126,18 @@
 
 #[test]
 fn evacuation_in_force_when_history_is_dropped_or_watches_hear_nothing() {
-    for trouble in [KvTrouble::None, KvTrouble::Deaf] {
+    for trouble in [KvFault::None, KvFault::Deaf] {
         let world = spread_world();
         let gateway = Gateway::ready(&world, &[]);
         wait_until("a watch", || world.store.calls().iter().any(|call| call.ends_with("kv-watch")));
-        world.store.trouble(gateway.store, trouble);
+        world.store.set_fault(gateway.store, trouble);
         let began = Instant::now();
         world.evacuate("d1");
-        world.store.forget_history();
+        world.store.discard_history();
         gateway.wait_for_evacuated(1);
         assert!(began.elapsed() < IN_FORCE, "{trouble:?}: {:?}", began.elapsed());
         world.restore("d1");
-        world.store.forget_history();
+        world.store.discard_history();
         gateway.wait_for_evacuated(0);
     }
 }
@@ -151,14 +151,14 @@
     let all = [&first, &second, &third];
     all.iter().for_each(|gateway| gateway.wait_for_peers(2));
     for turned_away in all {
-        world.store.trouble(turned_away.store, KvTrouble::Limited);
+        world.store.set_fault(turned_away.store, KvFault::Limited);
         let began = Instant::now();
         world.evacuate("d1");
         all.iter().for_each(|gateway| gateway.wait_for_evacuated(1));
         assert!(began.elapsed() < IN_FORCE, "{:?}", began.elapsed());
         world.restore("d1");
         all.iter().for_each(|gateway| gateway.wait_for_evacuated(0));
-        world.store.trouble(turned_away.store, KvTrouble::None);
+        world.store.set_fault(turned_away.store, KvFault::None);
     }
 }
 
@@ -170,11 +170,11 @@
     gateway.kill_and_start();
     wait_until("readiness", || gateway.is_ready());
     assert_eq!(reach_first(&world, &gateway, "a"), 0);
-    world.store.trouble(gateway.store, KvTrouble::Reset);
+    world.store.set_fault(gateway.store, KvFault::Reset);
     let lost = || gateway.log().iter().any(|line| line["event"] == "the store did not answer");
     wait_until("the loss", lost);
     assert_eq!(reach_first(&world, &gateway, "b"), 0);
-    world.store.trouble(gateway.store, KvTrouble::None);
+    world.store.set_fault(gateway.store, KvFault::None);
     // A newer configuration takes nothing back.
     world.store.put("op/config", &config(4, &[("look", "timeout_ms", json!(1_900))]));
     wait_until("version 4", || gateway.metrics().contains("galenapath_config_version 4"));
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -1,7 +1,7 @@
 //! Servers that say in their answers that they leave, before the list does.
 
 use crate::support::{Gateway, World, fleet, press, wait_until};
-use galenapath_dev::users_platform::{KvTrouble, ServerStandIn, ServerTrouble};
+use galenapath_dev::users_platform::{KvFault, ServerFault, ServerStandIn};
 use std::time::{Duration, Instant};
 
 /// Time after which nothing that was on its way reaches a server any more.
@@ -21,9 +21,9 @@
 
 /// Requests that reach the server while lookups are sent for half a second, all of which are answered.
 fn reach(gateways: &[Gateway], server: &ServerStandIn) -> usize {
-    let before = server.seen().len();
+    let before = server.executed_requests().len();
     assert!(press(gateways, Duration::from_millis(500)) > 0);
-    server.seen().len() - before
+    server.executed_requests().len() - before
 }
 
 #[test]
@@ -32,7 +32,7 @@
     let gateways = fleet(&world);
     press(&gateways, Duration::from_millis(500));
     for gateway in &gateways {
-        world.store.trouble(gateway.store, KvTrouble::Silent);
+        world.store.set_fault(gateway.store, KvFault::Silent);
     }
     let leaving = world.of("look")[0];
     leave(&gateways, leaving);
@@ -72,7 +72,7 @@
     let world = World::start();
     let gateway = Gateway::ready(&world, &[]);
     for server in world.of("file") {
-        server.set_trouble(ServerTrouble::Shed);
+        server.set_fault(ServerFault::Shed);
         server.set_leaving(true);
     }
     gateway.file("fl0");
@@ -90,7 +90,7 @@
     let world = World::start();
     let gateways = fleet(&world);
     let leaving = world.of("look")[0];
-    leaving.tell_askers();
+    leaving.report_state_in_probes();
     leaving.set_leaving(true);
     let is_heard = || {
         let log = gateways.iter().flat_map(Gateway::log);
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -1,7 +1,7 @@
 //! Servers that name a rate limit, and callers that send more than that.
 
 use crate::support::{Gateway, World, config, fleet, press, wait_until};
-use galenapath_dev::users_platform::ServerTrouble;
+use galenapath_dev::users_platform::ServerFault;
 use std::time::Duration;
 
 /// Requests a second that a server in need takes.
@@ -18,16 +18,20 @@
     let limited = world.of("look")[0];
     limited.set_limit(Some(LIMIT));
     assert!(press(&gateways, LONG) > 0);
-    let most = limited.most_limited();
+    let most = limited.peak_requests_while_limited();
     assert_eq!(limited.overruns(), 0, "{most} requests within four seconds");
     // It gets a good part of what it takes.
     assert!(most as f64 > LIMIT, "{most} requests within four seconds");
     // And as much as any other once it names no limit.
     limited.set_limit(None);
     press(&gateways, Duration::from_secs(2));
-    let before = limited.seen().len();
+    let before = limited.executed_requests().len();
     press(&gateways, Duration::from_secs(1));
-    assert!(limited.seen().len() > before + 20, "{}", limited.seen().len() - before);
+    assert!(
+        limited.executed_requests().len() > before + 20,
+        "{}",
+        limited.executed_requests().len() - before
+    );
 }
 
 #[test]
@@ -42,7 +46,7 @@
     gateways[1].kill_and_start();
     press(&gateways, LONG);
     for server in world.of("look") {
-        let most = server.most_limited();
+        let most = server.peak_requests_while_limited();
         assert_eq!(server.overruns(), 0, "{most} requests within four seconds");
     }
 }
@@ -65,7 +69,11 @@
         gateways[n].wait();
     }
     for server in limited {
-        assert!(server.most_limited() <= MOST, "{} within four seconds", server.most_limited());
+        assert!(
+            server.peak_requests_while_limited() <= MOST,
+            "{} within four seconds",
+            server.peak_requests_while_limited()
+        );
     }
 }
 
@@ -126,7 +134,7 @@
     });
     // The limit falls to an instance a second after its start.
     press(&gateways, Duration::from_millis(1_200));
-    limited.set_trouble(ServerTrouble::Shed);
+    limited.set_fault(ServerFault::Shed);
     press(&gateways, Duration::from_millis(500));
     assert_eq!(lines(false), 0);
 }
--- a/tests/gateway/pauses.rs
+++ b/tests/gateway/pauses.rs
@@ -1,7 +1,7 @@
 //! Servers that turn requests away and say for how long they want nothing.
 
 use crate::support::{Gateway, World, press, wait_until};
-use galenapath_dev::users_platform::ServerTrouble;
+use galenapath_dev::users_platform::ServerFault;
 use std::time::{Duration, Instant};
 
 /// Time for which a server wants nothing.
@@ -16,24 +16,24 @@
 
 #[test]
 fn server_that_wants_nothing_for_a_while_gets_nothing() {
-    for trouble in [ServerTrouble::Shed, ServerTrouble::Busy] {
+    for trouble in [ServerFault::Shed, ServerFault::Busy] {
         let world = World::start();
         let gateways = [settled(&world)];
         let paused = world.of("look")[0];
         paused.set_pause(Some(PAUSE));
-        paused.set_trouble(trouble);
+        paused.set_fault(trouble);
         let noted = || gateways[0].log().iter().any(|l| l["event"] == "server paused");
         let answered = press(&gateways, Duration::from_millis(300));
         assert!(answered > 0);
-        paused.set_trouble(ServerTrouble::None);
+        paused.set_fault(ServerFault::None);
         press(&gateways, Duration::from_millis(1_500));
         assert_eq!(paused.arrivals_in_pause(), 0, "{trouble:?}");
         assert!(noted());
         // And as much as any other afterwards.
-        let before = paused.seen().len();
+        let before = paused.executed_requests().len();
         wait_until("a request", || {
             press(&gateways, Duration::from_millis(100));
-            paused.seen().len() > before
+            paused.executed_requests().len() > before
         });
     }
 }
@@ -44,7 +44,7 @@
     let gateway = settled(&world);
     for server in world.of("file") {
         server.set_pause(Some(PAUSE));
-        server.set_trouble(ServerTrouble::Shed);
+        server.set_fault(ServerFault::Shed);
     }
     gateway.file("pa0");
     gateway.file("pa1");
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -1,7 +1,7 @@
 //! What callers get for their requests.
 
 use crate::support::{Gateway, LIMIT, World, ask, config, wait_until};
-use galenapath_dev::users_platform::ServerTrouble;
+use galenapath_dev::users_platform::ServerFault;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -23,7 +23,8 @@
     assert_eq!((file.status, file.is_whole), (200, true));
     let load = gateway.request("GET", "/load/1", "a3", 1_500, b"");
     assert_eq!((load.status, load.is_whole, load.body.len()), (200, true, 600_000));
-    let seen = world.of("file").iter().flat_map(|server| server.seen()).next().unwrap();
+    let seen =
+        world.of("file").iter().flat_map(|server| server.executed_requests()).next().unwrap();
     assert_eq!((seen.line.as_str(), seen.id.as_str()), ("POST /file/1", "a2"));
     assert_eq!(seen.body, b"a filing");
     assert!(seen.left_ms <= 1_500 && seen.left_ms > 1_000, "{}", seen.left_ms);
@@ -73,7 +74,7 @@
     let world = World::start();
     let gateway = Gateway::ready(&world, &[]);
     for server in world.of("file") {
-        server.set_trouble(ServerTrouble::Shed);
+        server.set_fault(ServerFault::Shed);
     }
     let answer = gateway.file("c1");
     assert_eq!(answer.status, 503);
@@ -104,7 +105,7 @@
     world.store.put("op/config", &config(2, &[("file", "timeout_ms", json!(300))]));
     let gateway = Gateway::ready(&world, &[]);
     for server in world.of("file") {
-        server.set_trouble(ServerTrouble::Hang);
+        server.set_fault(ServerFault::Hang);
     }
     let began = Instant::now();
     let answer = gateway.request("POST", "/file/1", "l1", 5_000, b"x");
@@ -112,7 +113,7 @@
     assert_eq!(answer.status, 504);
     assert!(took >= Duration::from_millis(290) && took < Duration::from_millis(800), "{took:?}");
     let left: Vec<u64> =
-        world.of("file").iter().flat_map(|s| s.seen()).map(|s| s.left_ms).collect();
+        world.of("file").iter().flat_map(|s| s.executed_requests()).map(|s| s.left_ms).collect();
     assert!(left.iter().all(|left| *left <= 300), "{left:?}");
 }
 
--- a/tests/gateway/servers.rs
+++ b/tests/gateway/servers.rs
@@ -2,22 +2,19 @@
 
 use crate::support::{Gateway, World, config, wait_until};
 use galenapath_dev::link::LinkFault;
-use galenapath_dev::users_platform::ServerTrouble;
+use galenapath_dev::users_platform::ServerFault;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
 #[test]
 fn filing_run_never_sent_again() {
-    for trouble in [
-        ServerTrouble::Mute,
-        ServerTrouble::Unsigned,
-        ServerTrouble::BreaksOff,
-        ServerTrouble::Busy,
-    ] {
+    for trouble in
+        [ServerFault::Mute, ServerFault::Unsigned, ServerFault::BreaksOff, ServerFault::Busy]
+    {
         let world = World::start();
         let gateway = Gateway::ready(&world, &[]);
         for server in world.of("file") {
-            server.set_trouble(trouble);
+            server.set_fault(trouble);
         }
         let answer = gateway.file("d1");
         assert_eq!(answer.status, 502, "{trouble:?}");
@@ -30,16 +27,16 @@
 #[test]
 fn lookup_failed_sent_elsewhere() {
     for trouble in [
-        ServerTrouble::Mute,
-        ServerTrouble::Shed,
-        ServerTrouble::Errors,
-        ServerTrouble::BreaksOff,
-        ServerTrouble::Other,
-        ServerTrouble::Hang,
+        ServerFault::Mute,
+        ServerFault::Shed,
+        ServerFault::Errors,
+        ServerFault::BreaksOff,
+        ServerFault::Other,
+        ServerFault::Hang,
     ] {
         let world = World::start();
         let gateway = Gateway::ready(&world, &[]);
-        world.of("look")[0].set_trouble(trouble);
+        world.of("look")[0].set_fault(trouble);
         for n in 0..3 {
             assert_eq!(gateway.look(&format!("e{n}")).status, 200, "{trouble:?}");
         }
@@ -50,9 +47,9 @@
 fn answer_foreign_or_doubled_never_mixed() {
     let world = World::start();
     let gateway = Gateway::ready(&world, &[]);
-    for trouble in [ServerTrouble::Foreign, ServerTrouble::Extra] {
+    for trouble in [ServerFault::Foreign, ServerFault::Extra] {
         for server in world.of("file") {
-            server.set_trouble(trouble);
+            server.set_fault(trouble);
         }
         for n in 0..6 {
             let id = format!("f{n}");
@@ -72,7 +69,7 @@
         assert_eq!(gateway.file(&format!("g{n}")).status, 200);
     }
     for server in world.of("file") {
-        server.set_trouble(ServerTrouble::ForgetsIdle);
+        server.set_fault(ServerFault::ForgetsIdle);
     }
     // Older than a connection that a filing trusts without asking.
     std::thread::sleep(Duration::from_millis(600));
@@ -100,12 +97,12 @@
         fast.set_pace(100);
         // A regular probe just before the change is trusted for eight milliseconds.
         std::thread::sleep(Duration::from_millis(12));
-        let before = fast.seen().len();
+        let before = fast.executed_requests().len();
         let id = format!("hs{round}");
         let answer = gateway.request("POST", "/file/1", &id, wait_ms, b"a filing");
         assert_eq!(answer.status, 200);
         let steps = gateway.log_of(&id)["steps"].clone();
-        assert_eq!(fast.seen().len(), before + 1, "round {round}: {steps}");
+        assert_eq!(fast.executed_requests().len(), before + 1, "round {round}: {steps}");
     }
 }
 
@@ -125,7 +122,7 @@
     let world = World::start();
     // New connections to one of two servers wait as long as there is no slot; none is kept yet.
     let full = world.of("look")[0];
-    full.set_greeting(Duration::from_millis(120));
+    full.set_accept_delay(Duration::from_millis(120));
     let in_time = |gateway: &Gateway, id: &str| {
         assert_eq!(gateway.look(id).status, 200);
         let line = gateway.log_of(id);
@@ -144,12 +141,12 @@
         in_time(&gateway, &format!("qu{n}"));
     }
     // The connection is kept once it is open.
-    full.set_greeting(Duration::ZERO);
+    full.set_accept_delay(Duration::ZERO);
     std::thread::sleep(Duration::from_millis(300));
     for n in 6..16 {
         assert_eq!(gateway.look(&format!("qu{n}")).status, 200);
     }
-    assert!(!full.seen().is_empty());
+    assert!(!full.executed_requests().is_empty());
     assert!(full.connections() - opened <= 4, "{} connections", full.connections() - opened);
 }
 
@@ -161,12 +158,12 @@
     let (key, entry) = leaving.entry("look", "draining");
     world.store.put(&key, &entry);
     wait_until("the mark", || gateway.log().iter().any(|line| line["state"] == "Leaving"));
-    let before = leaving.seen().len();
+    let before = leaving.executed_requests().len();
     for n in 0..6 {
         assert_eq!(gateway.look(&format!("o{n}")).status, 200);
     }
-    assert_eq!(leaving.seen().len(), before);
-    assert_eq!(stays.seen().len(), 6);
+    assert_eq!(leaving.executed_requests().len(), before);
+    assert_eq!(stays.executed_requests().len(), 6);
 }
 
 #[test]
@@ -203,7 +200,7 @@
 fn filing_sent_to_a_former_run_never_sent_again() {
     let world = World::start();
     for server in world.of("file") {
-        server.set_trouble(ServerTrouble::Hang);
+        server.set_fault(ServerFault::Hang);
         let (key, entry) = server.entry_of_run("file", "ready", 100);
         world.store.put(&key, &entry);
     }
@@ -214,7 +211,7 @@
         for server in world.of("file") {
             let (key, entry) = server.entry_of_run("file", "ready", 200);
             world.store.put(&key, &entry);
-            server.set_trouble(ServerTrouble::None);
+            server.set_fault(ServerFault::None);
         }
         assert_eq!(filing.join().unwrap().status, 504);
     });
@@ -231,10 +228,14 @@
     first.wait_for_peers(1);
     second.wait_for_peers(1);
     for server in world.of("look") {
-        server.set_trouble(ServerTrouble::CrashesOnPoison);
+        server.set_fault(ServerFault::CrashesOnPoison);
     }
     let crashes = || {
-        let ran = world.of("look").iter().flat_map(|server| server.seen()).collect::<Vec<_>>();
+        let ran = world
+            .of("look")
+            .iter()
+            .flat_map(|server| server.executed_requests())
+            .collect::<Vec<_>>();
         ran.iter().filter(|seen| seen.line.contains("poison")).count()
     };
     for n in 0..6 {
@@ -258,13 +259,13 @@
     let world = World::start();
     let gateway = Gateway::ready(&world, &[]);
     for server in world.of("look") {
-        server.set_trouble(ServerTrouble::Mute);
+        server.set_fault(ServerFault::Mute);
     }
     for n in 0..4 {
         assert_eq!(gateway.look(&format!("zr{n}")).status, 502);
     }
     for server in world.of("look") {
-        server.set_trouble(ServerTrouble::None);
+        server.set_fault(ServerFault::None);
     }
     wait_until("service", || gateway.look("zr9").status == 200);
     assert!(!gateway.log().iter().any(|line| line["outcome"] == "crashes_servers"));
@@ -279,15 +280,15 @@
     world.store.put("op/config", &config(2, &patient));
     let gateway = Gateway::ready(&world, &[]);
     for server in world.of("look") {
-        server.set_trouble(ServerTrouble::Hang);
+        server.set_fault(ServerFault::Hang);
     }
     let began = Instant::now();
     let answer = std::thread::scope(|scope| {
         let asking = scope.spawn(|| gateway.request("GET", "/look/1", "dark", 9_000, b""));
         wait_until("the request", || world.ran("look") == 1);
-        let at = usize::from(world.of("look")[0].seen().is_empty());
+        let at = usize::from(world.of("look")[0].executed_requests().is_empty());
         world.links[at].set_fault(LinkFault::Hold);
-        world.of("look")[1 - at].set_trouble(ServerTrouble::None);
+        world.of("look")[1 - at].set_fault(ServerFault::None);
         asking.join().unwrap()
     });
     assert_eq!(answer.status, 200);
--- a/tests/gateway/store.rs
+++ b/tests/gateway/store.rs
@@ -1,7 +1,7 @@
 //! The configuration, the list of backend servers, and a store that goes away.
 
 use crate::support::{Gateway, World, config, wait_until};
-use galenapath_dev::users_platform::KvTrouble;
+use galenapath_dev::users_platform::KvFault;
 use serde_json::json;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -33,22 +33,22 @@
     assert!(gateway.metrics().contains("galenapath_servers 6"));
     let (key, _) = world.of("look")[0].entry("look", "ready");
     world.store.delete(&key);
-    world.store.forget_history();
+    world.store.discard_history();
     wait_until("the shorter list", || gateway.metrics().contains("galenapath_servers 5"));
     assert_eq!(gateway.look("p1").status, 200);
 }
 
 #[test]
 fn store_away_served_on_and_watched_again() {
-    for trouble in [KvTrouble::Silent, KvTrouble::Busy, KvTrouble::Limited, KvTrouble::Reset] {
+    for trouble in [KvFault::Silent, KvFault::Busy, KvFault::Limited, KvFault::Reset] {
         let world = World::start();
         let gateway = Gateway::ready(&world, &[]);
-        world.store.trouble(gateway.store, trouble);
+        world.store.set_fault(gateway.store, trouble);
         let lost = |event: &str| gateway.log().iter().any(|line| line["event"] == event);
         wait_until("the loss", || lost("the store did not answer"));
         assert_eq!(gateway.look("q1").status, 200, "{trouble:?}");
         world.store.put("op/config", &config(4, &[]));
-        world.store.trouble(gateway.store, KvTrouble::None);
+        world.store.set_fault(gateway.store, KvFault::None);
         wait_until("version 4", || gateway.metrics().contains("galenapath_config_version 4"));
         assert!(lost("the store answers again"), "{trouble:?}");
     }
@@ -58,14 +58,14 @@
 fn entries_lapsed_in_an_outage_kept_for_two_seconds() {
     let world = World::start();
     let gateway = Gateway::ready(&world, &[]);
-    world.store.trouble(gateway.store, KvTrouble::Reset);
+    world.store.set_fault(gateway.store, KvFault::Reset);
     let lost = || gateway.log().iter().any(|line| line["event"] == "the store did not answer");
     wait_until("the loss", lost);
     let entries: Vec<_> = world.of("look").iter().map(|s| s.entry("look", "ready")).collect();
     for (key, _) in &entries {
         world.store.delete(key);
     }
-    world.store.trouble(gateway.store, KvTrouble::None);
+    world.store.set_fault(gateway.store, KvFault::None);
     let removed = || gateway.log().iter().any(|line| line["event"] == "server removed");
     wait_until("the removal", removed);
     assert_eq!(gateway.look("r1").status, 200);
@@ -83,7 +83,7 @@
     wait_until("servers", || gateway.metrics().contains("galenapath_servers 6"));
     assert_eq!(gateway.look("w1").status, 200);
     // A good entry that turns bad under the same identity names no server.
-    let before = world.of("look")[0].seen().len();
+    let before = world.of("look")[0].executed_requests().len();
     let (key, mut entry) = world.of("look")[0].entry("look", "ready");
     entry["state"] = json!("resting");
     world.store.put(&key, &entry);
@@ -93,7 +93,7 @@
     for n in 2..6 {
         assert_eq!(gateway.look(&format!("w{n}")).status, 200);
     }
-    assert_eq!(world.of("look")[0].seen().len(), before);
+    assert_eq!(world.of("look")[0].executed_requests().len(), before);
     let told = gateway.log().into_iter().filter(|line| line["event"] == "entry names no server");
     let told: Vec<String> =
         told.map(|line| format!("{}: {}", line["server"], line["error"])).collect();
@@ -116,13 +116,13 @@
     let second = Gateway::ready(&world, &[&first]);
     first.wait_for_peers(1);
     second.wait_for_peers(1);
-    world.store.trouble(second.store, KvTrouble::Silent);
+    world.store.set_fault(second.store, KvFault::Silent);
     world.store.put("op/config", &config(5, &[]));
     for gateway in [&first, &second] {
         wait_until("version 5", || gateway.metrics().contains("galenapath_config_version 5"));
     }
-    world.store.trouble(second.store, KvTrouble::None);
-    world.store.trouble(first.store, KvTrouble::Silent);
+    world.store.set_fault(second.store, KvFault::None);
+    world.store.set_fault(first.store, KvFault::Silent);
     world.store.put("op/config", &config(6, &[]));
     for gateway in [&first, &second] {
         wait_until("version 6", || gateway.metrics().contains("galenapath_config_version 6"));
@@ -134,7 +134,7 @@
     let world = World::start();
     let first = Gateway::ready(&world, &[]);
     let second = Gateway::start(&world, &[&first]);
-    world.store.trouble(second.store, KvTrouble::Silent);
+    world.store.set_fault(second.store, KvFault::Silent);
     wait_until("readiness", || second.is_ready());
     assert_eq!(second.look("s1").status, 200);
 }
@@ -143,14 +143,14 @@
 fn request_at_the_start_waits_for_what_is_missing() {
     let world = World::start();
     let store = world.store.listen().unwrap();
-    world.store.trouble(store, KvTrouble::Busy);
+    world.store.set_fault(store, KvFault::Busy);
     let gateway = Gateway::start_at(store, &[]);
     // It listens, and does not know any route yet.
     wait_until("listening", || TcpStream::connect(gateway.callers()).is_ok());
     let platform = world.store.clone();
     let healing = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(150));
-        platform.trouble(store, KvTrouble::None);
+        platform.set_fault(store, KvFault::None);
     });
     let answer = gateway.request("GET", "/look/1", "early", 6_000, b"");
     healing.join().unwrap();
@@ -161,7 +161,7 @@
 fn request_at_the_start_refused_when_nothing_comes() {
     let world = World::start();
     let store = world.store.listen().unwrap();
-    world.store.trouble(store, KvTrouble::Busy);
+    world.store.set_fault(store, KvFault::Busy);
     let gateway = Gateway::start_at(store, &[]);
     wait_until("listening", || TcpStream::connect(gateway.callers()).is_ok());
     let began = Instant::now();
@@ -175,7 +175,7 @@
     let gateway = Gateway::ready(&world, &[]);
     // It watches by now.
     wait_until("a watch", || world.store.calls().iter().any(|call| call.ends_with("kv-watch")));
-    world.store.trouble(gateway.store, KvTrouble::Deaf);
+    world.store.set_fault(gateway.store, KvFault::Deaf);
     let began = Instant::now();
     world.store.put("op/config", &config(5, &[]));
     wait_until("version 5", || gateway.metrics().contains("galenapath_config_version 5"));
@@ -192,10 +192,10 @@
     wait_until("version 7", || gateway.metrics().contains("galenapath_config_version 7"));
     let evacuate = ("op/evacuate/d1", json!({}));
     world.store.change_before_read("servers/", evacuate.0, Some(&evacuate.1));
-    world.store.forget_history();
+    world.store.discard_history();
     gateway.wait_for_evacuated(1);
     world.store.change_before_read("servers/", evacuate.0, None);
-    world.store.forget_history();
+    world.store.discard_history();
     gateway.wait_for_evacuated(0);
 }
 
@@ -253,6 +253,6 @@
     assert!(value("galenapath_load_age_seconds{service=\"look\"}").unwrap() < 1.0);
     assert_eq!(value("galenapath_peer_silence_seconds"), Some(0.0));
     wait_until("a watch", || value("galenapath_store_age_seconds").is_some_and(|age| age < 1.0));
-    world.store.trouble(gateway.store, KvTrouble::Silent);
+    world.store.set_fault(gateway.store, KvFault::Silent);
     wait_until("age", || value("galenapath_store_age_seconds").is_some_and(|age| age > 1.0));
 }
--- a/tests/gateway/traces.rs
+++ b/tests/gateway/traces.rs
@@ -1,7 +1,7 @@
 //! From a failed request's identifier to its cause, by the logs of a real run.
 
 use crate::support::{Gateway, World, config, wait_until};
-use galenapath_dev::users_platform::ServerTrouble;
+use galenapath_dev::users_platform::ServerFault;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -37,7 +37,7 @@
     let world = World::start();
     let gateway = Gateway::ready(&world, &[]);
     for server in world.of("file") {
-        server.set_trouble(ServerTrouble::Hang);
+        server.set_fault(ServerFault::Hang);
     }
     assert_eq!(gateway.file("t1").status, 504);
     let told = trace(&gateway, "t1");
--- a/tests/gateway/warming.rs
+++ b/tests/gateway/warming.rs
@@ -10,7 +10,12 @@
 
 fn assert_spared(servers: &[&ServerStandIn]) {
     for server in servers {
-        assert_eq!(server.crashes(), 0, "{} requests within a second", server.most_cold());
+        assert_eq!(
+            server.crashes(),
+            0,
+            "{} requests within a second",
+            server.peak_rate_while_cold()
+        );
     }
 }
 
@@ -21,7 +26,7 @@
     press(&gateways, Duration::from_millis(1_500));
     let look = world.of("look");
     // It turns cold without a word in its entry, while it serves half of the requests.
-    look[0].turn_cold(COLD, COLD_PER_SECOND);
+    look[0].set_cold(COLD, COLD_PER_SECOND);
     let answered = press(&gateways, COLD);
     assert!(answered > 0);
     assert_spared(&look);
@@ -29,9 +34,13 @@
         || gateways.iter().any(|g| g.log().iter().any(|l| l["event"] == "server warm-up changed"));
     assert!(heard());
     // And as much as any other once it is warm.
-    let before = look[0].seen().len();
+    let before = look[0].executed_requests().len();
     press(&gateways, Duration::from_secs(1));
-    assert!(look[0].seen().len() > before + 20, "{}", look[0].seen().len() - before);
+    assert!(
+        look[0].executed_requests().len() > before + 20,
+        "{}",
+        look[0].executed_requests().len() - before
+    );
 }
 
 #[test]
@@ -44,11 +53,11 @@
     gateways.iter().for_each(|gateway| gateway.wait_for_evacuated(1));
     // Its server is at home, so that it looks best when it is back.
     let home = world.of("look")[0];
-    home.turn_cold(COLD, COLD_PER_SECOND);
+    home.set_cold(COLD, COLD_PER_SECOND);
     world.restore("d1");
     press(&gateways, COLD);
     assert_spared(&[home]);
-    assert!(home.most_cold() > 0);
+    assert!(home.peak_rate_while_cold() > 0);
 }
 
 #[test]
@@ -57,7 +66,7 @@
     let gateways = fleet(&world);
     press(&gateways, Duration::from_millis(1_500));
     let server = world.of("look")[1];
-    server.turn_cold(COLD, COLD_PER_SECOND);
+    server.set_cold(COLD, COLD_PER_SECOND);
     let (key, mut entry) = server.entry_of_run("look", "ready", 1_764_720_000_000);
     entry["warmup_left_ms"] = json!(COLD.as_millis() as u64);
     world.store.put(&key, &entry);
@@ -75,7 +84,7 @@
 fn server_that_turns_cold_told_to_instances_that_serve_nobody() {
     let world = World::start();
     let gateways = fleet(&world);
-    world.of("look")[0].turn_cold(Duration::from_secs(20), COLD_PER_SECOND);
+    world.of("look")[0].set_cold(Duration::from_secs(20), COLD_PER_SECOND);
     let knows = |gateway: &Gateway| gateway.metrics().contains("galenapath_cold_servers 1\n");
     wait_until("word of a cold server", || {
         press(&gateways[..1], Duration::from_millis(100));
--- a/tests/gateway/world.rs
+++ b/tests/gateway/world.rs
@@ -111,6 +111,6 @@
 
     /// Requests that the servers of a service ran.
     pub fn ran(&self, service: &str) -> usize {
-        self.of(service).iter().map(|server| server.seen().len()).sum()
+        self.of(service).iter().map(|server| server.executed_requests().len()).sum()
     }
 }
--- a/tests/gateway_soak.rs
+++ b/tests/gateway_soak.rs
@@ -195,7 +195,7 @@
 fn check(world: &World, told: &[Told], trace: &[String]) {
     let mut runs: HashMap<String, usize> = HashMap::new();
     for (_, server) in &world.servers {
-        for seen in server.seen() {
+        for seen in server.executed_requests() {
             *runs.entry(seen.id).or_default() += 1;
         }
     }
@@ -256,12 +256,12 @@
     }
     std::thread::sleep(SETTLE);
     let withdrawn = || stage.world.servers.iter().skip(1).step_by(2);
-    let ran = || withdrawn().map(|(_, server)| server.seen().len()).sum::<usize>();
+    let ran = || withdrawn().map(|(_, server)| server.executed_requests().len()).sum::<usize>();
     let before = ran();
     std::thread::sleep(SETTLE);
     assert_eq!(ran(), before, "requests in an evacuated domain: {trace:?}");
     for (_, server) in &stage.world.servers {
-        let most = server.most_cold();
+        let most = server.peak_rate_while_cold();
         assert_eq!(server.crashes(), 0, "{most} requests a second while cold: {trace:?}");
     }
 }
@@ -276,7 +276,7 @@
     let before = server.overruns();
     server.set_limit(Some(2.0));
     std::thread::sleep(LONG);
-    let most = server.most_limited();
+    let most = server.peak_requests_while_limited();
     assert_eq!(server.overruns(), before, "{most} requests within four seconds: {trace:?}");
     server.set_limit(None);
     server.set_leaving(true);
@@ -287,9 +287,13 @@
         });
     }
     std::thread::sleep(SETTLE);
-    let ran = server.seen().len();
+    let ran = server.executed_requests().len();
     std::thread::sleep(SETTLE);
-    assert_eq!(server.seen().len(), ran, "requests at a server that leaves: {trace:?}");
+    assert_eq!(
+        server.executed_requests().len(),
+        ran,
+        "requests at a server that leaves: {trace:?}"
+    );
 }
 
 fn setting(name: &str) -> Option<String> {
--- a/tests/gateway_soak/faults.rs
+++ b/tests/gateway_soak/faults.rs
@@ -3,24 +3,24 @@
 use super::{Stage, wait_until};
 use crate::support::COLD_PER_SECOND;
 use galenapath_dev::link::LinkFault;
-use galenapath_dev::users_platform::ServerTrouble;
+use galenapath_dev::users_platform::ServerFault;
 use rand::RngExt;
 use rand::rngs::SmallRng;
 use serde_json::json;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-const SERVER_TROUBLES: &[ServerTrouble] = &[
-    ServerTrouble::Shed,
-    ServerTrouble::Mute,
-    ServerTrouble::Hang,
-    ServerTrouble::Errors,
-    ServerTrouble::Unsigned,
-    ServerTrouble::BreaksOff,
-    ServerTrouble::Extra,
-    ServerTrouble::Foreign,
-    ServerTrouble::Busy,
-    ServerTrouble::ForgetsIdle,
+const SERVER_TROUBLES: &[ServerFault] = &[
+    ServerFault::Shed,
+    ServerFault::Mute,
+    ServerFault::Hang,
+    ServerFault::Errors,
+    ServerFault::Unsigned,
+    ServerFault::BreaksOff,
+    ServerFault::Extra,
+    ServerFault::Foreign,
+    ServerFault::Busy,
+    ServerFault::ForgetsIdle,
 ];
 
 const LINK_FAULTS: &[LinkFault] = &[
@@ -98,9 +98,9 @@
         }
         5 => {
             let trouble = *draw(rng, SERVER_TROUBLES);
-            server.set_trouble(trouble);
+            server.set_fault(trouble);
             std::thread::sleep(span);
-            server.set_trouble(ServerTrouble::None);
+            server.set_fault(ServerFault::None);
             format!("server {at} {trouble:?} for {span:?}")
         }
         6 => {
@@ -110,7 +110,7 @@
             format!("server {at} slow for {span:?}")
         }
         7 => {
-            server.turn_cold(span, COLD_PER_SECOND);
+            server.set_cold(span, COLD_PER_SECOND);
             std::thread::sleep(span);
             format!("server {at} cold for {span:?}")
         }
@@ -137,9 +137,9 @@
         }
         14 => {
             server.set_pause(Some(span));
-            server.set_trouble(*draw(rng, &[ServerTrouble::Shed, ServerTrouble::Busy]));
+            server.set_fault(*draw(rng, &[ServerFault::Shed, ServerFault::Busy]));
             std::thread::sleep(draw_span(rng));
-            server.set_trouble(ServerTrouble::None);
+            server.set_fault(ServerFault::None);
             server.set_pause(None);
             format!("server {at} wants nothing for {span:?}")
         }
@@ -186,7 +186,7 @@
             let entry = draw(rng, &entries);
             let key = format!("servers/other{}", rng.random_range(0..3));
             stage.world.store.put(&key, entry);
-            stage.world.store.forget_history();
+            stage.world.store.discard_history();
             format!("entry of another writer {entry}, history dropped")
         }
     }
