--- a/tests/gateway/evacuation.rs
+++ b/tests/gateway/evacuation.rs
@@ -1,7 +1,7 @@
 //! Failure domains that the operator evacuates and restores.
 
 use crate::support::{Gateway, World, config, wait_until};
-use galenapath_dev::users_platform::KvTrouble;
+use galenapath_dev::users_platform::KvFault;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
@@ -12,11 +12,11 @@
 /// Sends lookups and returns how many of them the first server ran. It is in `d1`, as all instances
 /// are.
 fn lookups_at_first_server(world: &World, gateway: &Gateway, name: &str) -> usize {
-    let before = world.servers_of("look")[0].seen().len();
+    let before = world.servers_of("look")[0].executed_requests().len();
     for n in 0..12 {
         assert_eq!(gateway.send_lookup(&format!("{name}{n}")).status, 200, "{name}");
     }
-    world.servers_of("look")[0].seen().len() - before
+    world.servers_of("look")[0].executed_requests().len() - before
 }
 
 /// Starts an instance and waits until it probes servers; by then it also warms cold ones.
@@ -64,7 +64,7 @@
     assert_eq!(lookups_at_first_server(&world, &first, "a"), 0);
     // The same holds for an instance that the store does not answer.
     let second = Gateway::start(&world, &[&first]);
-    world.store.trouble(second.store, KvTrouble::Silent);
+    world.store.set_fault(second.store, KvFault::Silent);
     wait_until("readiness", || second.is_ready());
     assert_eq!(lookups_at_first_server(&world, &second, "b"), 0);
 }
@@ -101,7 +101,7 @@
             })
             .collect();
         wait_until("filings at the server in d1", || {
-            !world.servers_of("file")[0].seen().is_empty()
+            !world.servers_of("file")[0].executed_requests().is_empty()
         });
         world.evacuate("d1");
         calls.into_iter().map(|call| call.join().unwrap().status).collect::<Vec<_>>()
@@ -133,20 +133,20 @@
 
 #[test]
 fn evacuation_in_force_when_history_is_dropped_or_watches_receive_nothing() {
-    for fault in [KvTrouble::None, KvTrouble::Deaf] {
+    for fault in [KvFault::None, KvFault::Deaf] {
         let world = start_two_domain_world();
         let gateway = Gateway::start_ready(&world, &[]);
         wait_until("a watch on the store", || {
             world.store.calls().iter().any(|call| call.ends_with("kv-watch"))
         });
-        world.store.trouble(gateway.store, fault);
+        world.store.set_fault(gateway.store, fault);
         let began = Instant::now();
         world.evacuate("d1");
-        world.store.forget_history();
+        world.store.discard_history();
         gateway.wait_for_evacuated(1);
         assert!(began.elapsed() < IN_FORCE, "{fault:?}: {:?}", began.elapsed());
         world.restore("d1");
-        world.store.forget_history();
+        world.store.discard_history();
         gateway.wait_for_evacuated(0);
     }
 }
@@ -160,14 +160,14 @@
     let all = [&first, &second, &third];
     all.iter().for_each(|gateway| gateway.wait_for_peers(2));
     for rejected in all {
-        world.store.trouble(rejected.store, KvTrouble::Limited);
+        world.store.set_fault(rejected.store, KvFault::Limited);
         let began = Instant::now();
         world.evacuate("d1");
         all.iter().for_each(|gateway| gateway.wait_for_evacuated(1));
         assert!(began.elapsed() < IN_FORCE, "{:?}", began.elapsed());
         world.restore("d1");
         all.iter().for_each(|gateway| gateway.wait_for_evacuated(0));
-        world.store.trouble(rejected.store, KvTrouble::None);
+        world.store.set_fault(rejected.store, KvFault::None);
     }
 }
 
@@ -179,12 +179,12 @@
     gateway.kill_and_start();
     wait_until("readiness", || gateway.is_ready());
     assert_eq!(lookups_at_first_server(&world, &gateway, "a"), 0);
-    world.store.trouble(gateway.store, KvTrouble::Reset);
+    world.store.set_fault(gateway.store, KvFault::Reset);
     let has_logged =
         || gateway.log().iter().any(|line| line["event"] == "the store did not answer");
     wait_until("the loss of the store", has_logged);
     assert_eq!(lookups_at_first_server(&world, &gateway, "b"), 0);
-    world.store.trouble(gateway.store, KvTrouble::None);
+    world.store.set_fault(gateway.store, KvFault::None);
     // A newer configuration does not revert the evacuation.
     world.store.put("op/config", &config(4, &[("look", "timeout_ms", json!(1_900))]));
     wait_until("version 4", || gateway.metrics().contains("galenapath_config_version 4"));
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -1,7 +1,7 @@
 //! Servers that report in their answers that they are leaving, before the list of servers shows it.
 
 use crate::support::{Gateway, World, fleet, send_lookups, wait_until};
-use galenapath_dev::users_platform::{KvTrouble, ServerStandIn, ServerTrouble};
+use galenapath_dev::users_platform::{KvFault, ServerFault, ServerStandIn};
 use std::time::{Duration, Instant};
 
 /// Time after which no request that was in flight can still reach a server.
@@ -23,9 +23,9 @@
 /// Sends lookups for half a second; returns how many of them reached the server. At least one must
 /// be answered.
 fn requests_reaching(gateways: &[Gateway], server: &ServerStandIn) -> usize {
-    let before = server.seen().len();
+    let before = server.executed_requests().len();
     assert!(send_lookups(gateways, Duration::from_millis(500)) > 0);
-    server.seen().len() - before
+    server.executed_requests().len() - before
 }
 
 #[test]
@@ -34,7 +34,7 @@
     let gateways = fleet(&world);
     send_lookups(&gateways, Duration::from_millis(500));
     for gateway in &gateways {
-        world.store.trouble(gateway.store, KvTrouble::Silent);
+        world.store.set_fault(gateway.store, KvFault::Silent);
     }
     let leaving = world.servers_of("look")[0];
     set_leaving_and_wait(&gateways, leaving);
@@ -74,7 +74,7 @@
     let world = World::start();
     let gateway = Gateway::start_ready(&world, &[]);
     for server in world.servers_of("file") {
-        server.set_trouble(ServerTrouble::Shed);
+        server.set_fault(ServerFault::Shed);
         server.set_leaving(true);
     }
     gateway.send_filing("fl0");
@@ -92,7 +92,7 @@
     let world = World::start();
     let gateways = fleet(&world);
     let leaving = world.servers_of("look")[0];
-    leaving.tell_askers();
+    leaving.report_state_in_probes();
     leaving.set_leaving(true);
     let is_logged = || {
         let log = gateways.iter().flat_map(Gateway::log);
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -1,7 +1,7 @@
 //! Servers that state a rate limit, with callers that send more than that.
 
 use crate::support::{Gateway, World, config, fleet, send_lookups, wait_until};
-use galenapath_dev::users_platform::ServerTrouble;
+use galenapath_dev::users_platform::ServerFault;
 use std::time::Duration;
 
 /// Requests a second that a limited server accepts.
@@ -18,16 +18,20 @@
     let limited = world.servers_of("look")[0];
     limited.set_limit(Some(RATE_LIMIT));
     assert!(send_lookups(&gateways, LOAD_DURATION) > 0);
-    let peak = limited.most_limited();
+    let peak = limited.peak_requests_while_limited();
     assert_eq!(limited.overruns(), 0, "{peak} requests within four seconds");
     // The server must also get a good part of the requests that it accepts.
     assert!(peak as f64 > RATE_LIMIT, "{peak} requests within four seconds");
     // Without a limit it gets as many requests as any other server.
     limited.set_limit(None);
     send_lookups(&gateways, Duration::from_secs(2));
-    let before = limited.seen().len();
+    let before = limited.executed_requests().len();
     send_lookups(&gateways, Duration::from_secs(1));
-    assert!(limited.seen().len() > before + 20, "{}", limited.seen().len() - before);
+    assert!(
+        limited.executed_requests().len() > before + 20,
+        "{}",
+        limited.executed_requests().len() - before
+    );
 }
 
 #[test]
@@ -42,7 +46,7 @@
     gateways[1].kill_and_start();
     send_lookups(&gateways, LOAD_DURATION);
     for server in world.servers_of("look") {
-        let peak = server.most_limited();
+        let peak = server.peak_requests_while_limited();
         assert_eq!(server.overruns(), 0, "{peak} requests within four seconds");
     }
 }
@@ -67,9 +71,9 @@
     }
     for server in limited {
         assert!(
-            server.most_limited() <= MAX_REQUESTS,
+            server.peak_requests_while_limited() <= MAX_REQUESTS,
             "{} within four seconds",
-            server.most_limited()
+            server.peak_requests_while_limited()
         );
     }
 }
@@ -132,7 +136,7 @@
     });
     // An instance is assigned the whole limit one second after its start.
     send_lookups(&gateways, Duration::from_millis(1_200));
-    limited.set_trouble(ServerTrouble::Shed);
+    limited.set_fault(ServerFault::Shed);
     send_lookups(&gateways, Duration::from_millis(500));
     assert_eq!(count_changes(false), 0);
 }
--- a/tests/gateway/pauses.rs
+++ b/tests/gateway/pauses.rs
@@ -1,7 +1,7 @@
 //! Servers that reject requests and state for how long they are paused.
 
 use crate::support::{Gateway, World, send_lookups, wait_until};
-use galenapath_dev::users_platform::ServerTrouble;
+use galenapath_dev::users_platform::ServerFault;
 use std::time::{Duration, Instant};
 
 /// Time for which a server is paused.
@@ -16,24 +16,24 @@
 
 #[test]
 fn paused_server_gets_nothing() {
-    for fault in [ServerTrouble::Shed, ServerTrouble::Busy] {
+    for fault in [ServerFault::Shed, ServerFault::Busy] {
         let world = World::start();
         let gateways = [start_and_wait_for_probe(&world)];
         let paused = world.servers_of("look")[0];
         paused.set_pause(Some(PAUSE));
-        paused.set_trouble(fault);
+        paused.set_fault(fault);
         let is_logged = || gateways[0].log().iter().any(|l| l["event"] == "server paused");
         let answered = send_lookups(&gateways, Duration::from_millis(300));
         assert!(answered > 0);
-        paused.set_trouble(ServerTrouble::None);
+        paused.set_fault(ServerFault::None);
         send_lookups(&gateways, Duration::from_millis(1_500));
         assert_eq!(paused.arrivals_in_pause(), 0, "{fault:?}");
         assert!(is_logged());
         // After the pause it gets requests again.
-        let before = paused.seen().len();
+        let before = paused.executed_requests().len();
         wait_until("a request", || {
             send_lookups(&gateways, Duration::from_millis(100));
-            paused.seen().len() > before
+            paused.executed_requests().len() > before
         });
     }
 }
@@ -44,7 +44,7 @@
     let gateway = start_and_wait_for_probe(&world);
     for server in world.servers_of("file") {
         server.set_pause(Some(PAUSE));
-        server.set_trouble(ServerTrouble::Shed);
+        server.set_fault(ServerFault::Shed);
     }
     gateway.send_filing("pa0");
     gateway.send_filing("pa1");
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -1,7 +1,7 @@
 //! How requests of callers are answered, from routing to log lines.
 
 use crate::support::{Gateway, WAIT_TIMEOUT, World, config, send_request, wait_until};
-use galenapath_dev::users_platform::ServerTrouble;
+use galenapath_dev::users_platform::ServerFault;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -23,7 +23,12 @@
     assert_eq!((filing.status, filing.is_whole), (200, true));
     let download = gateway.request("GET", "/load/1", "a3", 1_500, b"");
     assert_eq!((download.status, download.is_whole, download.body.len()), (200, true, 600_000));
-    let seen = world.servers_of("file").iter().flat_map(|server| server.seen()).next().unwrap();
+    let seen = world
+        .servers_of("file")
+        .iter()
+        .flat_map(|server| server.executed_requests())
+        .next()
+        .unwrap();
     assert_eq!((seen.line.as_str(), seen.id.as_str()), ("POST /file/1", "a2"));
     assert_eq!(seen.body, b"a filing");
     assert!(seen.left_ms <= 1_500 && seen.left_ms > 1_000, "{}", seen.left_ms);
@@ -76,7 +81,7 @@
     let world = World::start();
     let gateway = Gateway::start_ready(&world, &[]);
     for server in world.servers_of("file") {
-        server.set_trouble(ServerTrouble::Shed);
+        server.set_fault(ServerFault::Shed);
     }
     let answer = gateway.send_filing("c1");
     assert_eq!(answer.status, 503);
@@ -108,15 +113,19 @@
     world.store.put("op/config", &config(2, &[("file", "timeout_ms", json!(300))]));
     let gateway = Gateway::start_ready(&world, &[]);
     for server in world.servers_of("file") {
-        server.set_trouble(ServerTrouble::Hang);
+        server.set_fault(ServerFault::Hang);
     }
     let began = Instant::now();
     let answer = gateway.request("POST", "/file/1", "l1", 5_000, b"x");
     let took = began.elapsed();
     assert_eq!(answer.status, 504);
     assert!(took >= Duration::from_millis(290) && took < Duration::from_millis(800), "{took:?}");
-    let deadlines: Vec<u64> =
-        world.servers_of("file").iter().flat_map(|s| s.seen()).map(|s| s.left_ms).collect();
+    let deadlines: Vec<u64> = world
+        .servers_of("file")
+        .iter()
+        .flat_map(|s| s.executed_requests())
+        .map(|s| s.left_ms)
+        .collect();
     assert!(deadlines.iter().all(|left_ms| *left_ms <= 300), "{deadlines:?}");
 }
 
--- a/tests/gateway/servers.rs
+++ b/tests/gateway/servers.rs
@@ -2,22 +2,19 @@
 
 use crate::support::{Gateway, World, config, wait_until};
 use galenapath_dev::link::LinkFault;
-use galenapath_dev::users_platform::ServerTrouble;
+use galenapath_dev::users_platform::ServerFault;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
 #[test]
 fn filing_run_never_sent_again() {
-    for fault in [
-        ServerTrouble::Mute,
-        ServerTrouble::Unsigned,
-        ServerTrouble::BreaksOff,
-        ServerTrouble::Busy,
-    ] {
+    for fault in
+        [ServerFault::Mute, ServerFault::Unsigned, ServerFault::BreaksOff, ServerFault::Busy]
+    {
         let world = World::start();
         let gateway = Gateway::start_ready(&world, &[]);
         for server in world.servers_of("file") {
-            server.set_trouble(fault);
+            server.set_fault(fault);
         }
         let answer = gateway.send_filing("d1");
         assert_eq!(answer.status, 502, "{fault:?}");
@@ -30,16 +27,16 @@
 #[test]
 fn lookup_failed_sent_elsewhere() {
     for fault in [
-        ServerTrouble::Mute,
-        ServerTrouble::Shed,
-        ServerTrouble::Errors,
-        ServerTrouble::BreaksOff,
-        ServerTrouble::Other,
-        ServerTrouble::Hang,
+        ServerFault::Mute,
+        ServerFault::Shed,
+        ServerFault::Errors,
+        ServerFault::BreaksOff,
+        ServerFault::Other,
+        ServerFault::Hang,
     ] {
         let world = World::start();
         let gateway = Gateway::start_ready(&world, &[]);
-        world.servers_of("look")[0].set_trouble(fault);
+        world.servers_of("look")[0].set_fault(fault);
         for n in 0..3 {
             assert_eq!(gateway.send_lookup(&format!("e{n}")).status, 200, "{fault:?}");
         }
@@ -50,9 +47,9 @@
 fn answer_foreign_or_doubled_never_mixed() {
     let world = World::start();
     let gateway = Gateway::start_ready(&world, &[]);
-    for fault in [ServerTrouble::Foreign, ServerTrouble::Extra] {
+    for fault in [ServerFault::Foreign, ServerFault::Extra] {
         for server in world.servers_of("file") {
-            server.set_trouble(fault);
+            server.set_fault(fault);
         }
         for n in 0..6 {
             let id = format!("f{n}");
@@ -72,7 +69,7 @@
         assert_eq!(gateway.send_filing(&format!("g{n}")).status, 200);
     }
     for server in world.servers_of("file") {
-        server.set_trouble(ServerTrouble::ForgetsIdle);
+        server.set_fault(ServerFault::ForgetsIdle);
     }
     // The connections become too old for a filing to use them without a load query first.
     std::thread::sleep(Duration::from_millis(600));
@@ -101,12 +98,12 @@
         fast.set_pace(100);
         // The result of a regular probe just before the change counts as fresh for 8 ms.
         std::thread::sleep(Duration::from_millis(12));
-        let before = fast.seen().len();
+        let before = fast.executed_requests().len();
         let id = format!("hs{round}");
         let answer = gateway.request("POST", "/file/1", &id, timeout_ms, b"a filing");
         assert_eq!(answer.status, 200);
         let steps = gateway.log_of(&id)["steps"].clone();
-        assert_eq!(fast.seen().len(), before + 1, "round {round}: {steps}");
+        assert_eq!(fast.executed_requests().len(), before + 1, "round {round}: {steps}");
     }
 }
 
@@ -127,7 +124,7 @@
     // New connections to one of two servers are accepted only after a delay, as on a server without
     // a free slot, and no connection is open yet.
     let full = world.servers_of("look")[0];
-    full.set_greeting(Duration::from_millis(120));
+    full.set_accept_delay(Duration::from_millis(120));
     let assert_not_delayed = |gateway: &Gateway, id: &str| {
         assert_eq!(gateway.send_lookup(id).status, 200);
         let line = gateway.log_of(id);
@@ -147,12 +144,12 @@
         assert_not_delayed(&gateway, &format!("qu{n}"));
     }
     // The connection stays in use once it is open.
-    full.set_greeting(Duration::ZERO);
+    full.set_accept_delay(Duration::ZERO);
     std::thread::sleep(Duration::from_millis(300));
     for n in 6..16 {
         assert_eq!(gateway.send_lookup(&format!("qu{n}")).status, 200);
     }
-    assert!(!full.seen().is_empty());
+    assert!(!full.executed_requests().is_empty());
     assert!(full.connections() - opened <= 4, "{} connections", full.connections() - opened);
 }
 
@@ -165,12 +162,12 @@
     let (key, entry) = leaving.entry("look", "draining");
     world.store.put(&key, &entry);
     wait_until("the leaving state", || gateway.log().iter().any(|line| line["state"] == "Leaving"));
-    let before = leaving.seen().len();
+    let before = leaving.executed_requests().len();
     for n in 0..6 {
         assert_eq!(gateway.send_lookup(&format!("o{n}")).status, 200);
     }
-    assert_eq!(leaving.seen().len(), before);
-    assert_eq!(stays.seen().len(), 6);
+    assert_eq!(leaving.executed_requests().len(), before);
+    assert_eq!(stays.executed_requests().len(), 6);
 }
 
 #[test]
@@ -207,7 +204,7 @@
 fn filing_sent_to_a_former_run_never_sent_again() {
     let world = World::start();
     for server in world.servers_of("file") {
-        server.set_trouble(ServerTrouble::Hang);
+        server.set_fault(ServerFault::Hang);
         let (key, entry) = server.entry_of_run("file", "ready", 100);
         world.store.put(&key, &entry);
     }
@@ -218,7 +215,7 @@
         for server in world.servers_of("file") {
             let (key, entry) = server.entry_of_run("file", "ready", 200);
             world.store.put(&key, &entry);
-            server.set_trouble(ServerTrouble::None);
+            server.set_fault(ServerFault::None);
         }
         assert_eq!(filing.join().unwrap().status, 504);
     });
@@ -235,11 +232,14 @@
     first.wait_for_peers(1);
     second.wait_for_peers(1);
     for server in world.servers_of("look") {
-        server.set_trouble(ServerTrouble::CrashesOnPoison);
+        server.set_fault(ServerFault::CrashesOnPoison);
     }
     let crashes = || {
-        let ran =
-            world.servers_of("look").iter().flat_map(|server| server.seen()).collect::<Vec<_>>();
+        let ran = world
+            .servers_of("look")
+            .iter()
+            .flat_map(|server| server.executed_requests())
+            .collect::<Vec<_>>();
         ran.iter().filter(|seen| seen.line.contains("poison")).count()
     };
     for n in 0..6 {
@@ -263,13 +263,13 @@
     let world = World::start();
     let gateway = Gateway::start_ready(&world, &[]);
     for server in world.servers_of("look") {
-        server.set_trouble(ServerTrouble::Mute);
+        server.set_fault(ServerFault::Mute);
     }
     for n in 0..4 {
         assert_eq!(gateway.send_lookup(&format!("zr{n}")).status, 502);
     }
     for server in world.servers_of("look") {
-        server.set_trouble(ServerTrouble::None);
+        server.set_fault(ServerFault::None);
     }
     wait_until("a request to be answered", || gateway.send_lookup("zr9").status == 200);
     assert!(!gateway.log().iter().any(|line| line["outcome"] == "crashes_servers"));
@@ -284,15 +284,15 @@
     world.store.put("op/config", &config(2, &long_timeouts));
     let gateway = Gateway::start_ready(&world, &[]);
     for server in world.servers_of("look") {
-        server.set_trouble(ServerTrouble::Hang);
+        server.set_fault(ServerFault::Hang);
     }
     let began = Instant::now();
     let answer = std::thread::scope(|scope| {
         let request = scope.spawn(|| gateway.request("GET", "/look/1", "dark", 9_000, b""));
         wait_until("the request to reach a server", || world.run_count("look") == 1);
-        let at = usize::from(world.servers_of("look")[0].seen().is_empty());
+        let at = usize::from(world.servers_of("look")[0].executed_requests().is_empty());
         world.links[at].set_fault(LinkFault::Hold);
-        world.servers_of("look")[1 - at].set_trouble(ServerTrouble::None);
+        world.servers_of("look")[1 - at].set_fault(ServerFault::None);
         request.join().unwrap()
     });
     assert_eq!(answer.status, 200);
--- a/tests/gateway/store.rs
+++ b/tests/gateway/store.rs
@@ -1,7 +1,7 @@
 //! The configuration, the list of backend servers, and outages of the store.
 
 use crate::support::{Gateway, World, config, wait_until};
-use galenapath_dev::users_platform::KvTrouble;
+use galenapath_dev::users_platform::KvFault;
 use serde_json::json;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -33,22 +33,22 @@
     assert!(gateway.metrics().contains("galenapath_servers 6"));
     let (key, _) = world.servers_of("look")[0].entry("look", "ready");
     world.store.delete(&key);
-    world.store.forget_history();
+    world.store.discard_history();
     wait_until("the shorter list", || gateway.metrics().contains("galenapath_servers 5"));
     assert_eq!(gateway.send_lookup("p1").status, 200);
 }
 
 #[test]
 fn store_unavailable_requests_served_and_watch_resumed() {
-    for fault in [KvTrouble::Silent, KvTrouble::Busy, KvTrouble::Limited, KvTrouble::Reset] {
+    for fault in [KvFault::Silent, KvFault::Busy, KvFault::Limited, KvFault::Reset] {
         let world = World::start();
         let gateway = Gateway::start_ready(&world, &[]);
-        world.store.trouble(gateway.store, fault);
+        world.store.set_fault(gateway.store, fault);
         let has_logged = |event: &str| gateway.log().iter().any(|line| line["event"] == event);
         wait_until("the loss of the store", || has_logged("the store did not answer"));
         assert_eq!(gateway.send_lookup("q1").status, 200, "{fault:?}");
         world.store.put("op/config", &config(4, &[]));
-        world.store.trouble(gateway.store, KvTrouble::None);
+        world.store.set_fault(gateway.store, KvFault::None);
         wait_until("version 4", || gateway.metrics().contains("galenapath_config_version 4"));
         assert!(has_logged("the store answers again"), "{fault:?}");
     }
@@ -58,7 +58,7 @@
 fn entries_lapsed_in_an_outage_kept_for_two_seconds() {
     let world = World::start();
     let gateway = Gateway::start_ready(&world, &[]);
-    world.store.trouble(gateway.store, KvTrouble::Reset);
+    world.store.set_fault(gateway.store, KvFault::Reset);
     let has_logged =
         || gateway.log().iter().any(|line| line["event"] == "the store did not answer");
     wait_until("the loss of the store", has_logged);
@@ -67,7 +67,7 @@
     for (key, _) in &entries {
         world.store.delete(key);
     }
-    world.store.trouble(gateway.store, KvTrouble::None);
+    world.store.set_fault(gateway.store, KvFault::None);
     let removed = || gateway.log().iter().any(|line| line["event"] == "server removed");
     wait_until("a server to be removed", removed);
     assert_eq!(gateway.send_lookup("r1").status, 200);
@@ -87,7 +87,7 @@
     wait_until("servers", || gateway.metrics().contains("galenapath_servers 6"));
     assert_eq!(gateway.send_lookup("w1").status, 200);
     // An entry that becomes invalid under the same identity no longer names a server.
-    let before = world.servers_of("look")[0].seen().len();
+    let before = world.servers_of("look")[0].executed_requests().len();
     let (key, mut entry) = world.servers_of("look")[0].entry("look", "ready");
     entry["state"] = json!("resting");
     world.store.put(&key, &entry);
@@ -97,7 +97,7 @@
     for n in 2..6 {
         assert_eq!(gateway.send_lookup(&format!("w{n}")).status, 200);
     }
-    assert_eq!(world.servers_of("look")[0].seen().len(), before);
+    assert_eq!(world.servers_of("look")[0].executed_requests().len(), before);
     let messages =
         gateway.log().into_iter().filter(|line| line["event"] == "entry names no server");
     let messages: Vec<String> =
@@ -124,13 +124,13 @@
     let second = Gateway::start_ready(&world, &[&first]);
     first.wait_for_peers(1);
     second.wait_for_peers(1);
-    world.store.trouble(second.store, KvTrouble::Silent);
+    world.store.set_fault(second.store, KvFault::Silent);
     world.store.put("op/config", &config(5, &[]));
     for gateway in [&first, &second] {
         wait_until("version 5", || gateway.metrics().contains("galenapath_config_version 5"));
     }
-    world.store.trouble(second.store, KvTrouble::None);
-    world.store.trouble(first.store, KvTrouble::Silent);
+    world.store.set_fault(second.store, KvFault::None);
+    world.store.set_fault(first.store, KvFault::Silent);
     world.store.put("op/config", &config(6, &[]));
     for gateway in [&first, &second] {
         wait_until("version 6", || gateway.metrics().contains("galenapath_config_version 6"));
@@ -142,7 +142,7 @@
     let world = World::start();
     let first = Gateway::start_ready(&world, &[]);
     let second = Gateway::start(&world, &[&first]);
-    world.store.trouble(second.store, KvTrouble::Silent);
+    world.store.set_fault(second.store, KvFault::Silent);
     wait_until("readiness", || second.is_ready());
     assert_eq!(second.send_lookup("s1").status, 200);
 }
@@ -151,14 +151,14 @@
 fn request_at_start_waits_for_configuration() {
     let world = World::start();
     let store = world.store.listen().unwrap();
-    world.store.trouble(store, KvTrouble::Busy);
+    world.store.set_fault(store, KvFault::Busy);
     let gateway = Gateway::start_at(store, &[]);
     // The instance listens but does not know any route yet.
     wait_until("listening", || TcpStream::connect(gateway.callers()).is_ok());
     let platform = world.store.clone();
     let healing = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(150));
-        platform.trouble(store, KvTrouble::None);
+        platform.set_fault(store, KvFault::None);
     });
     let answer = gateway.request("GET", "/look/1", "early", 6_000, b"");
     healing.join().unwrap();
@@ -169,7 +169,7 @@
 fn request_at_start_refused_without_configuration() {
     let world = World::start();
     let store = world.store.listen().unwrap();
-    world.store.trouble(store, KvTrouble::Busy);
+    world.store.set_fault(store, KvFault::Busy);
     let gateway = Gateway::start_at(store, &[]);
     wait_until("listening", || TcpStream::connect(gateway.callers()).is_ok());
     let began = Instant::now();
@@ -184,7 +184,7 @@
     wait_until("a watch on the store", || {
         world.store.calls().iter().any(|call| call.ends_with("kv-watch"))
     });
-    world.store.trouble(gateway.store, KvTrouble::Deaf);
+    world.store.set_fault(gateway.store, KvFault::Deaf);
     let began = Instant::now();
     world.store.put("op/config", &config(5, &[]));
     wait_until("version 5", || gateway.metrics().contains("galenapath_config_version 5"));
@@ -201,10 +201,10 @@
     wait_until("version 7", || gateway.metrics().contains("galenapath_config_version 7"));
     let evacuate = ("op/evacuate/d1", json!({}));
     world.store.change_before_read("servers/", evacuate.0, Some(&evacuate.1));
-    world.store.forget_history();
+    world.store.discard_history();
     gateway.wait_for_evacuated(1);
     world.store.change_before_read("servers/", evacuate.0, None);
-    world.store.forget_history();
+    world.store.discard_history();
     gateway.wait_for_evacuated(0);
 }
 
@@ -264,7 +264,7 @@
     wait_until("a watch on the store", || {
         value("galenapath_store_age_seconds").is_some_and(|age| age < 1.0)
     });
-    world.store.trouble(gateway.store, KvTrouble::Silent);
+    world.store.set_fault(gateway.store, KvFault::Silent);
     wait_until("the store's age to grow", || {
         value("galenapath_store_age_seconds").is_some_and(|age| age > 1.0)
     });
--- a/tests/gateway/traces.rs
+++ b/tests/gateway/traces.rs
@@ -2,7 +2,7 @@
 //! of these logs.
 
 use crate::support::{Gateway, World, config, wait_until};
-use galenapath_dev::users_platform::ServerTrouble;
+use galenapath_dev::users_platform::ServerFault;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -38,7 +38,7 @@
     let world = World::start();
     let gateway = Gateway::start_ready(&world, &[]);
     for server in world.servers_of("file") {
-        server.set_trouble(ServerTrouble::Hang);
+        server.set_fault(ServerFault::Hang);
     }
     assert_eq!(gateway.send_filing("t1").status, 504);
     let report = trace(&gateway, "t1");
--- a/tests/gateway/warming.rs
+++ b/tests/gateway/warming.rs
@@ -10,7 +10,12 @@
 
 fn assert_no_crashes(servers: &[&ServerStandIn]) {
     for server in servers {
-        assert_eq!(server.crashes(), 0, "{} requests within a second", server.most_cold());
+        assert_eq!(
+            server.crashes(),
+            0,
+            "{} requests within a second",
+            server.peak_rate_while_cold()
+        );
     }
 }
 
@@ -21,7 +26,7 @@
     send_lookups(&gateways, Duration::from_millis(1_500));
     let servers = world.servers_of("look");
     // The server turns cold without a change of its entry, while it serves half of the requests.
-    servers[0].turn_cold(COLD, COLD_PER_SECOND);
+    servers[0].set_cold(COLD, COLD_PER_SECOND);
     let answered = send_lookups(&gateways, COLD);
     assert!(answered > 0);
     assert_no_crashes(&servers);
@@ -29,9 +34,13 @@
         || gateways.iter().any(|g| g.log().iter().any(|l| l["event"] == "server warm-up changed"));
     assert!(is_logged());
     // Once it is warm, it gets as many requests as any other server.
-    let before = servers[0].seen().len();
+    let before = servers[0].executed_requests().len();
     send_lookups(&gateways, Duration::from_secs(1));
-    assert!(servers[0].seen().len() > before + 20, "{}", servers[0].seen().len() - before);
+    assert!(
+        servers[0].executed_requests().len() > before + 20,
+        "{}",
+        servers[0].executed_requests().len() - before
+    );
 }
 
 #[test]
@@ -44,11 +53,11 @@
     gateways.iter().for_each(|gateway| gateway.wait_for_evacuated(1));
     // Its server is in the failure domain of the instances, so it is preferred once it is restored.
     let local = world.servers_of("look")[0];
-    local.turn_cold(COLD, COLD_PER_SECOND);
+    local.set_cold(COLD, COLD_PER_SECOND);
     world.restore("d1");
     send_lookups(&gateways, COLD);
     assert_no_crashes(&[local]);
-    assert!(local.most_cold() > 0);
+    assert!(local.peak_rate_while_cold() > 0);
 }
 
 #[test]
@@ -57,7 +66,7 @@
     let gateways = fleet(&world);
     send_lookups(&gateways, Duration::from_millis(1_500));
     let server = world.servers_of("look")[1];
-    server.turn_cold(COLD, COLD_PER_SECOND);
+    server.set_cold(COLD, COLD_PER_SECOND);
     let (key, mut entry) = server.entry_of_run("look", "ready", 1_764_720_000_000);
     entry["warmup_left_ms"] = json!(COLD.as_millis() as u64);
     world.store.put(&key, &entry);
@@ -75,7 +84,7 @@
 fn cold_server_reported_to_instances_without_callers() {
     let world = World::start();
     let gateways = fleet(&world);
-    world.servers_of("look")[0].turn_cold(Duration::from_secs(20), COLD_PER_SECOND);
+    world.servers_of("look")[0].set_cold(Duration::from_secs(20), COLD_PER_SECOND);
     let has_cold_server =
         |gateway: &Gateway| gateway.metrics().contains("galenapath_cold_servers 1\n");
     wait_until("the cold server to be known", || {
--- a/tests/gateway/world.rs
+++ b/tests/gateway/world.rs
@@ -112,6 +112,6 @@
 
     /// Number of requests that the servers of a service ran.
     pub fn run_count(&self, service: &str) -> usize {
-        self.servers_of(service).iter().map(|server| server.seen().len()).sum()
+        self.servers_of(service).iter().map(|server| server.executed_requests().len()).sum()
     }
 }
--- a/tests/gateway_soak.rs
+++ b/tests/gateway_soak.rs
@@ -221,7 +221,7 @@
 fn assert_answers_match_runs(world: &World, calls: &[CallRecord], trace: &[String]) {
     let mut runs: HashMap<String, usize> = HashMap::new();
     for (_, server) in &world.servers {
-        for seen in server.seen() {
+        for seen in server.executed_requests() {
             *runs.entry(seen.id).or_default() += 1;
         }
     }
@@ -288,12 +288,12 @@
     }
     std::thread::sleep(SETTLE);
     let withdrawn = || deployment.world.servers.iter().skip(1).step_by(2);
-    let ran = || withdrawn().map(|(_, server)| server.seen().len()).sum::<usize>();
+    let ran = || withdrawn().map(|(_, server)| server.executed_requests().len()).sum::<usize>();
     let before = ran();
     std::thread::sleep(SETTLE);
     assert_eq!(ran(), before, "requests in an evacuated domain after {trace:?}");
     for (_, server) in &deployment.world.servers {
-        let peak = server.most_cold();
+        let peak = server.peak_rate_while_cold();
         assert_eq!(server.crashes(), 0, "{peak} requests a second while cold: {trace:?}");
     }
 }
@@ -309,7 +309,7 @@
     let before = server.overruns();
     server.set_limit(Some(2.0));
     std::thread::sleep(LIMIT_DURATION);
-    let peak = server.most_limited();
+    let peak = server.peak_requests_while_limited();
     assert_eq!(server.overruns(), before, "{peak} requests within four seconds: {trace:?}");
     server.set_limit(None);
     server.set_leaving(true);
@@ -320,9 +320,13 @@
         });
     }
     std::thread::sleep(SETTLE);
-    let ran = server.seen().len();
+    let ran = server.executed_requests().len();
     std::thread::sleep(SETTLE);
-    assert_eq!(server.seen().len(), ran, "requests at a server that is leaving after {trace:?}");
+    assert_eq!(
+        server.executed_requests().len(),
+        ran,
+        "requests at a server that is leaving after {trace:?}"
+    );
 }
 
 fn env_setting(name: &str) -> Option<String> {
