--- a/crates/galenapath-dev/src/backend/connection.rs
+++ b/crates/galenapath-dev/src/backend/connection.rs
@@ -139,7 +139,7 @@
 /// Runs `step` until it is done, the caller goes away or the deadline passes.
 async fn bounded<T>(conn: &mut Conn, job: &Job, step: impl Future<Output = T>) -> Step<T> {
     let step = pin!(step);
-    let closed = pin!(conn.closed());
+    let closed = pin!(conn.wait_closed());
     let expired = pin!(sleep(job.time_left()));
     match select(step, select(closed, expired)).await {
         Either::Left((value, _)) => Step::Done(value),
--- a/crates/galenapath-dev/src/lib.rs
+++ b/crates/galenapath-dev/src/lib.rs
@@ -1,6 +1,7 @@
-//! Development package: stand-ins for the systems around galenapath, and the load generator.
+//! Development tools: stand-ins for the systems around galenapath, a load generator, and a scenario
+//! runner.
 //!
-//! Nothing here ships: the programs are examples of this package.
+//! Nothing here is part of a release: the programs are examples of this package.
 
 pub mod backend;
 pub mod link;
--- a/crates/galenapath-dev/src/link.rs
+++ b/crates/galenapath-dev/src/link.rs
@@ -1,4 +1,5 @@
-//! A TCP relay between two processes, whose link a test can cut, delay or silence, one way or both.
+//! A TCP relay between two processes, whose connections a test can close, delay or block, in one
+//! direction or both.
 
 use futures::future::{Either, select};
 use monoio::io::{AsyncReadRent, AsyncWriteRent, AsyncWriteRentExt, Splitable};
@@ -11,42 +12,42 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, mpsc};
 use std::time::Duration;
 
-/// Bytes that are relayed at a time.
+/// Largest number of bytes read at once.
 const READ_LEN: usize = 16 * 1024;
-/// How often a held link looks whether it was mended.
-const HOLD_POLL: Duration = Duration::from_millis(5);
+/// How often the state of the link is checked while data is held, and for cuts.
+const STATE_POLL: Duration = Duration::from_millis(5);
 
-/// What is wrong with a link.
+/// Fault injected into a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Nothing.
+    /// Data passes unchanged.
     #[default]
     None,
-    /// Connections are closed and new ones are closed at once.
+    /// Open connections are closed, and new ones are closed as soon as they are accepted.
     Cut,
-    /// Requests pass; at the first byte of a reply the connection closes.
+    /// Requests pass; the connection is closed at the first byte of a reply.
     CutReplies,
-    /// No byte passes in either direction, and nothing closes.
+    /// No data passes in either direction; connections stay open.
     Hold,
-    /// No request passes, and nothing closes.
+    /// No request passes; connections stay open.
     HoldRequests,
-    /// No reply passes, and nothing closes.
+    /// No reply passes; connections stay open.
     HoldReplies,
-    /// Each piece of data takes this long.
+    /// Each block of data that is read is forwarded after this time.
     Delay(Duration),
 }
 
-/// The state of a link, which its connections share.
+/// State of a link, shared by its connections.
 #[derive(Clone, Copy, Debug, Default)]
 struct State {
     fault: LinkFault,
-    /// Number of cuts so far; a connection that is older than the last one ends.
+    /// Number of cuts so far. A connection closes once this differs from the value at its start.
     cuts: u64,
-    /// Where connections go; unset until the target listens.
+    /// Address that connections are forwarded to; unset until [`Relay::set_target`] is called.
     target: Option<SocketAddr>,
 }
 
-/// A link; its faults are set from any thread.
+/// Handle to a link's state; faults can be set from any thread.
 #[derive(Clone, Debug, Default)]
 struct Link(Arc<Mutex<State>>);
 
@@ -60,19 +61,20 @@
     }
 }
 
-/// A relay that listens on an address of its own.
+/// A TCP relay.
 pub struct Relay {
-    /// Where it listens.
+    /// Address that the relay listens on.
     pub addr: SocketAddr,
     link: Link,
 }
 
 impl Relay {
-    /// Listens on `addr`; port 0 takes a free one. Runs in the runtime of this thread.
+    /// Starts a relay that listens on `addr`, in the runtime of the current thread. Port 0 selects
+    /// a free port.
     ///
     /// # Errors
     ///
-    /// When the address cannot be had.
+    /// The address cannot be bound.
     pub fn start(addr: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(addr)?;
         let addr = listener.local_addr()?;
@@ -81,19 +83,19 @@
         Ok(Self { addr, link })
     }
 
-    /// Listens on a free loopback address, for connections to `target`, on a thread of its own that ends
-    /// with the process.
+    /// Starts a relay to `target` that listens on a free loopback address, on a separate thread
+    /// that ends with the process.
     ///
     /// # Errors
     ///
-    /// When no thread, runtime or address can be had.
+    /// The thread or runtime cannot be created, or the address cannot be bound.
     pub fn start_on_thread(target: SocketAddr) -> io::Result<Self> {
         let (tx, rx) = mpsc::channel();
         std::thread::Builder::new().spawn(move || {
             let runtime = RuntimeBuilder::<LegacyDriver>::new().enable_timer().build();
             let mut runtime = match runtime {
                 Ok(runtime) => runtime,
-                // The starting thread is told; it waits for nothing else.
+                // The starting thread receives the error below. A send fails only if it has ended.
                 Err(e) => return drop(tx.send(Err(e))),
             };
             runtime.block_on(async move {
@@ -102,7 +104,8 @@
                     relay.set_target(target);
                 }
                 drop(tx.send(relay));
-                // A timer holds the task: the runtime drops one that nothing can wake.
+                // The pending timer keeps the task alive: the runtime drops tasks that nothing can
+                // wake.
                 loop {
                     sleep(Duration::from_secs(3_600)).await;
                 }
@@ -111,12 +114,12 @@
         rx.recv().map_err(io::Error::other)?
     }
 
-    /// Sends connections to `target` from now on.
+    /// Forwards new connections to `target`.
     pub fn set_target(&self, target: SocketAddr) {
         self.link.lock().target = Some(target);
     }
 
-    /// Sets what is wrong with the link, for open connections too.
+    /// Sets the link's fault. It applies to open connections too.
     pub fn set_fault(&self, fault: LinkFault) {
         let mut state = self.link.lock();
         state.fault = fault;
@@ -137,22 +140,22 @@
     let _ = (caller.set_nodelay(true), target.set_nodelay(true));
     let (mut caller_rx, mut caller_tx) = caller.into_split();
     let (mut target_rx, mut target_tx) = target.into_split();
-    let requests = pin!(pump(&mut caller_rx, &mut target_tx, &link, false));
-    let replies = pin!(pump(&mut target_rx, &mut caller_tx, &link, true));
-    let cut = pin!(until_cut(&link, cuts));
-    // Either direction's end closes both: the processes of a scenario use no half-open connections.
+    let requests = pin!(forward_bytes(&mut caller_rx, &mut target_tx, &link, false));
+    let replies = pin!(forward_bytes(&mut target_rx, &mut caller_tx, &link, true));
+    let cut = pin!(wait_for_cut(&link, cuts));
+    // The end of one direction closes both: no process of a scenario uses half-closed connections.
     match select(select(requests, replies), cut).await {
         Either::Left(_) | Either::Right(_) => {}
     }
 }
 
-async fn until_cut(link: &Link, cuts: u64) {
+async fn wait_for_cut(link: &Link, cuts: u64) {
     while link.get().cuts == cuts {
-        sleep(HOLD_POLL).await;
+        sleep(STATE_POLL).await;
     }
 }
 
-async fn pump(
+async fn forward_bytes(
     rx: &mut impl AsyncReadRent,
     tx: &mut impl AsyncWriteRent,
     link: &Link,
@@ -162,7 +165,7 @@
     loop {
         buf.clear();
         let (result, read) = rx.read(buf).await;
-        if !matches!(result, Ok(len) if len > 0) || !pass(link, is_reply).await {
+        if !matches!(result, Ok(len) if len > 0) || !may_forward(link, is_reply).await {
             return;
         }
         let (result, written) = tx.write_all(read).await;
@@ -173,8 +176,9 @@
     }
 }
 
-/// Waits as the link's fault demands; whether the data passes at all.
-async fn pass(link: &Link, is_reply: bool) -> bool {
+/// Applies the link's fault to data that was read: waits while the link holds or delays it, then
+/// returns whether to forward it.
+async fn may_forward(link: &Link, is_reply: bool) -> bool {
     loop {
         match link.get().fault {
             LinkFault::None => return true,
@@ -183,7 +187,7 @@
             LinkFault::HoldRequests if is_reply => return true,
             LinkFault::HoldReplies if !is_reply => return true,
             LinkFault::Hold | LinkFault::HoldRequests | LinkFault::HoldReplies => {
-                sleep(HOLD_POLL).await;
+                sleep(STATE_POLL).await;
             }
             LinkFault::Delay(time) => {
                 sleep(time).await;
--- a/crates/galenapath-dev/src/users_platform/serve.rs
+++ b/crates/galenapath-dev/src/users_platform/serve.rs
@@ -92,7 +92,7 @@
 /// Works, unless the connection closes first.
 async fn run(inner: &Mutex<Inner>, conn: &mut Conn, work: Duration) -> Result<(), WireError> {
     let worked = std::pin::pin!(monoio::time::sleep(work));
-    let closed = std::pin::pin!(conn.closed());
+    let closed = std::pin::pin!(conn.wait_closed());
     match futures::future::select(worked, closed).await {
         futures::future::Either::Left(_) => Ok(()),
         futures::future::Either::Right(_) => {
--- a/crates/galenapath-dev/src/wire/conn.rs
+++ b/crates/galenapath-dev/src/wire/conn.rs
@@ -1,4 +1,4 @@
-//! One connection, from either side.
+//! An HTTP/1.1 connection, for clients and servers.
 
 use super::framing::Framing;
 use bytes::{Bytes, BytesMut};
@@ -14,16 +14,16 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Bytes asked for by one read; also the largest part of a body that is held at once.
-const READ_LEN: usize = 64 * 1024;
-/// Largest head, and the most bytes a peer may send ahead while a request runs.
+/// Maximum length of one read, and of a part of a body held in memory.
+const MAX_READ_LEN: usize = 64 * 1024;
+/// Maximum length of a head, and of the data that a peer may send ahead while a request runs.
 const HEAD_LIMIT: usize = 64 * 1024;
-/// First allocation for reads; idle connections keep no more than this.
-const FIRST_READ_LEN: usize = 4 * 1024;
+/// Initial length of reads. It limits the memory of idle connections.
+const INITIAL_READ_LEN: usize = 4 * 1024;
 
-/// Bytes of bodies after which a connection lets timers and other tasks run. The runtime looks at
-/// its timers only when no task is ready, and a fast peer's connection is ready all the time.
-const PAUSE_AFTER: usize = 4 * 1024 * 1024;
+/// Number of body bytes after which a connection yields to timers and other tasks. The runtime
+/// polls timers only when no task is ready, and the connection of a fast peer is always ready.
+const YIELD_AFTER_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a message could not be read or written.
 #[derive(Debug, Error)]
@@ -31,8 +31,8 @@
     /// The connection failed.
     #[error("connection: {0}")]
     Io(#[from] io::Error),
-    /// The peer closed the connection inside a message.
-    #[error("connection closed inside a message")]
+    /// The peer closed the connection within a message.
+    #[error("connection closed within a message")]
     Truncated,
     /// The peer closed the connection between messages.
     #[error("connection closed")]
@@ -40,28 +40,29 @@
     /// A head or chunk is malformed.
     #[error("malformed message: {0}")]
     Malformed(#[from] DecodeError),
-    /// A head is longer than the stand-in takes.
-    #[error("head longer than {HEAD_LIMIT} bytes")]
+    /// A head is longer than 64 KiB, or a body is longer than its reader accepts.
+    #[error("head longer than {HEAD_LIMIT} bytes, or body longer than its limit")]
     TooLong,
 }
 
-/// A TCP connection with the bytes that were read ahead.
+/// A TCP connection with a buffer of received data.
 pub struct Conn {
     stream: TcpStream,
-    /// Bytes received and not yet decoded.
+    /// Data that was received but not decoded yet.
     buf: BytesMut,
-    /// Next read's length: grows while a body streams, so that idle connections stay small.
+    /// Length of the next read. It grows while a body streams and is reset at its end, so that idle
+    /// connections use little memory.
     read_len: usize,
-    /// Bytes of bodies since the last pause.
-    since_pause: usize,
+    /// Body bytes since the last yield.
+    bytes_since_yield: usize,
 }
 
 impl Conn {
-    /// Takes over a connected stream.
+    /// Wraps a connected stream.
     pub fn new(stream: TcpStream) -> Self {
-        // Small answers must not wait for an acknowledgement; failure costs only latency.
+        // Small answers must not wait for an acknowledgement. Failure only adds latency.
         let _ = stream.set_nodelay(true);
-        Self { stream, buf: BytesMut::new(), read_len: FIRST_READ_LEN, since_pause: 0 }
+        Self { stream, buf: BytesMut::new(), read_len: INITIAL_READ_LEN, bytes_since_yield: 0 }
     }
 
     /// Connects to `addr`.
@@ -69,12 +70,12 @@
         TcpStream::connect_addr(addr).await.map(Self::new)
     }
 
-    /// Reads the next request's head.
+    /// Reads the head of the next request.
     pub async fn read_request(&mut self) -> Result<RequestHead, WireError> {
         self.read_head(&mut RequestHeadDecoder).await
     }
 
-    /// Reads the next answer's head.
+    /// Reads the head of the next answer.
     pub async fn read_answer(&mut self) -> Result<ResponseHead, WireError> {
         self.read_head(&mut ResponseHeadDecoder).await
     }
@@ -100,15 +101,15 @@
         }
     }
 
-    /// Reads the next part of a body; `None` once it is whole.
+    /// Reads the next part of a body; `None` at its end.
     pub async fn read_part(&mut self, framing: &mut Framing) -> Result<Option<Bytes>, WireError> {
         loop {
             if let Some(part) = self.decode_part(framing)? {
-                self.pause_after(part.len()).await;
+                self.yield_after(part.len()).await;
                 return Ok(Some(part));
             }
             if matches!(framing, Framing::Done) {
-                self.read_len = FIRST_READ_LEN;
+                self.read_len = INITIAL_READ_LEN;
                 return Ok(None);
             }
             if self.fill().await? == 0 {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Decodes a part of the body from what was received, if there is enough.
+    /// Decodes the next part of the body from the received data, if there is enough.
     fn decode_part(&mut self, framing: &mut Framing) -> Result<Option<Bytes>, WireError> {
         match framing {
             Framing::Done => Ok(None),
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Reads and joins a whole body, up to `limit` bytes.
+    /// Reads a whole body; fails if it is longer than `limit` bytes.
     pub async fn read_body(
         &mut self,
         framing: &mut Framing,
@@ -169,20 +170,21 @@
 
     /// Writes all of `bytes` without copying them.
     pub async fn write_part(&mut self, bytes: Bytes) -> Result<(), WireError> {
-        self.pause_after(bytes.len()).await;
+        self.yield_after(bytes.len()).await;
         self.stream.write_all(bytes).await.0?;
         Ok(())
     }
 
-    /// Ends this side's direction of the connection.
+    /// Shuts down the sending direction of the connection.
     pub async fn shutdown(&mut self) -> io::Result<()> {
         self.stream.shutdown().await
     }
 
-    /// Returns once the peer has closed the connection or sent too much ahead.
+    /// Waits until the peer has closed the connection or has sent more data ahead than a head may
+    /// have.
     ///
-    /// May be dropped at any await: bytes that came before stay in the connection.
-    pub async fn closed(&mut self) {
+    /// Cancel safe: data received before stays in the buffer.
+    pub async fn wait_closed(&mut self) {
         while self.buf.len() <= HEAD_LIMIT {
             if !matches!(self.fill().await, Ok(n) if n > 0) {
                 return;
@@ -190,10 +192,10 @@
         }
     }
 
-    async fn pause_after(&mut self, len: usize) {
-        self.since_pause += len;
-        if self.since_pause >= PAUSE_AFTER {
-            self.since_pause = 0;
+    async fn yield_after(&mut self, len: usize) {
+        self.bytes_since_yield += len;
+        if self.bytes_since_yield >= YIELD_AFTER_BYTES {
+            self.bytes_since_yield = 0;
             sleep(Duration::ZERO).await;
         }
     }
@@ -202,7 +204,7 @@
         let (result, buf) = self.stream.read(Vec::with_capacity(self.read_len)).await;
         let len = result?;
         if len == self.read_len {
-            self.read_len = (self.read_len * 2).min(READ_LEN);
+            self.read_len = (self.read_len * 2).min(MAX_READ_LEN);
         }
         self.buf.extend_from_slice(&buf[..len]);
         Ok(len)
--- a/crates/galenapath-dev/src/wire/framing.rs
+++ b/crates/galenapath-dev/src/wire/framing.rs
@@ -1,27 +1,27 @@
-//! How the body that follows a head ends.
+//! Framing of HTTP/1.1 bodies.
 
 use http::{HeaderMap, Method, StatusCode, header};
 use monoio_http::h1::codec::decoder::ChunkedBodyDecoder;
 
-/// End of a message's body.
+/// How the end of a message body is determined.
 pub enum Framing {
-    /// This many bytes are still to come.
+    /// This many bytes remain.
     Length(u64),
-    /// Chunks, the last of which is empty.
+    /// Chunked encoding.
     Chunked(ChunkedBodyDecoder),
-    /// Everything until the peer closes the connection.
+    /// The body ends when the peer closes the connection.
     UntilClose,
-    /// The body was read whole.
+    /// The body is complete.
     Done,
 }
 
 impl Framing {
-    /// Framing of a request's body.
+    /// Returns the framing of a request body.
     pub fn of_request(headers: &HeaderMap) -> Self {
-        declared(headers).unwrap_or(Self::Done)
+        from_headers(headers).unwrap_or(Self::Done)
     }
 
-    /// Framing of the body of an answer to a request with `method`.
+    /// Returns the framing of the body of an answer to a request with `method`.
     pub fn of_answer(method: &Method, status: StatusCode, headers: &HeaderMap) -> Self {
         let bodiless = status.is_informational()
             || status == StatusCode::NO_CONTENT
@@ -29,11 +29,11 @@
         if bodiless || method == Method::HEAD {
             return Self::Done;
         }
-        declared(headers).unwrap_or(Self::UntilClose)
+        from_headers(headers).unwrap_or(Self::UntilClose)
     }
 }
 
-fn declared(headers: &HeaderMap) -> Option<Framing> {
+fn from_headers(headers: &HeaderMap) -> Option<Framing> {
     if headers.contains_key(header::TRANSFER_ENCODING) {
         return Some(Framing::Chunked(ChunkedBodyDecoder::default()));
     }
--- a/crates/galenapath-dev/src/wire/message.rs
+++ b/crates/galenapath-dev/src/wire/message.rs
@@ -1,4 +1,4 @@
-//! Writing heads, and a whole exchange for calls with small bodies.
+//! Encoding of heads, and whole exchanges with small bodies.
 
 use super::conn::{Conn, WireError};
 use super::framing::Framing;
@@ -6,35 +6,35 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// Largest body of an answer that [`exchange`] takes.
+/// Maximum length of an answer body that [`exchange`] reads.
 const ANSWER_LIMIT: usize = 8 * 1024 * 1024;
 
-/// A whole answer.
+/// An answer with its whole body.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
 impl Answer {
-    /// A header's text, empty where it is missing.
+    /// Returns the value of a header, or an empty string if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("")
     }
 }
 
-/// Text of a request's head.
+/// Encodes the head of a request.
 pub fn request_head(method: &str, path: &str, headers: &[(&str, &str)]) -> String {
     let mut head = format!("{method} {path} HTTP/1.1\r\n");
     push_headers(&mut head, headers);
     head
 }
 
-/// Text of an answer's head.
+/// Encodes the head of an answer.
 pub fn answer_head(status: StatusCode, headers: &[(&str, &str)]) -> String {
     let reason = status.canonical_reason().unwrap_or("Unknown");
     let mut head = format!("HTTP/1.1 {} {reason}\r\n", status.as_u16());
@@ -50,7 +50,7 @@
     head.push_str("\r\n");
 }
 
-/// One request and its answer on a connection of their own.
+/// Sends one request on a new connection and reads the whole answer.
 pub async fn exchange(
     addr: SocketAddr,
     method: &str,
--- a/crates/galenapath-dev/src/wire/mod.rs
+++ b/crates/galenapath-dev/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 on a plain connection, for stand-ins.
+//! HTTP/1.1 over TCP for stand-ins and test clients.
 //!
-//! Heads and chunks are decoded by `monoio-http`. Answers and requests are written by hand, since a
-//! stand-in must also be able to write wrong ones.
+//! Heads and chunks are decoded by `monoio-http`. Requests and answers are written as plain text,
+//! because a stand-in must also be able to send malformed ones.
 
 mod conn;
 mod framing;
