--- a/crates/galenapath-dev/src/scenario/backend.rs
+++ b/crates/galenapath-dev/src/scenario/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers of a scenario: one process with one or more of them.
+//! Processes of backend servers in a scenario; each process has one or more servers.
 
 use super::error::ScenarioError;
 use super::line::Line;
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Options of the step that are passed on to the program.
+/// Options of the step that are passed to the program as flags.
 const PROGRAM_OPTIONS: &[&str] = &[
     "work",
     "slots",
@@ -25,7 +25,7 @@
     "leave_after",
     "delay",
 ];
-/// Longest wait for running work at the end of a scenario.
+/// Limit for running requests to finish at the end of a scenario.
 const IDLE_LIMIT: Duration = Duration::from_secs(10);
 
 /// A process of backend servers.
@@ -34,14 +34,15 @@
     args: Vec<String>,
     admin: SocketAddr,
     dir: PathBuf,
-    /// Relays before the servers, if the step asked for links.
+    /// Relays in front of the servers, with `link=yes`.
     pub links: Vec<Relay>,
-    /// The process; missing while it is killed or stopped.
+    /// The process; `None` while it is killed or stopped.
     pub process: Option<Process>,
 }
 
 impl Backends {
-    /// Prepares `backend NAME service=… domain=… [count=…] [link=yes] …` and starts it.
+    /// `backend NAME service=… domain=… [count=…] [link=yes] …`: starts a process of backend
+    /// servers.
     pub async fn start(
         line: &Line,
         programs: &Programs,
@@ -103,12 +104,12 @@
         Ok(())
     }
 
-    /// File in which the process notes what it runs.
+    /// Returns the path of the execution log that the process writes.
     pub fn log_path(&self) -> PathBuf {
         self.dir.join(format!("{}.executions", self.name))
     }
 
-    /// Sets faults of a server or, without `server=`, of all.
+    /// Sets the faults of one server or, without `server=`, of all servers.
     pub async fn set_faults(&self, line: &Line) -> Result<(), ScenarioError> {
         let mut faults = serde_json::Map::new();
         for (name, value) in &line.options {
@@ -117,22 +118,24 @@
         self.operate("faults", &serde_json::Value::Object(faults).to_string()).await
     }
 
-    /// `PUT /admin/OPERATION`.
+    /// Sends `PUT /admin/OPERATION` to the process.
     pub async fn operate(&self, operation: &str, body: &str) -> Result<(), ScenarioError> {
         let path = format!("/admin/{operation}");
         let answer = exchange(self.admin, "PUT", &path, body.as_bytes()).await;
-        let answer =
-            answer.map_err(ScenarioError::call(format!("{operation} of {}", self.name)))?;
+        let answer = answer
+            .map_err(ScenarioError::call(format!("operation {operation} on {}", self.name)))?;
         if answer.status.is_success() {
             return Ok(());
         }
         Err(ScenarioError::bad(String::from_utf8_lossy(&answer.body)))
     }
 
-    /// A counter: the sum over the servers, or the largest for one that is no count.
+    /// Reads a counter: the sum over the servers, or the maximum for fields that end in `_ms` or
+    /// `_most`.
     pub async fn counter(&self, field: &str) -> Result<f64, ScenarioError> {
         let answer = exchange(self.admin, "GET", "/admin/counters", b"").await;
-        let answer = answer.map_err(ScenarioError::call(format!("counters of {}", self.name)))?;
+        let answer = answer
+            .map_err(ScenarioError::call(format!("reading the counters of {}", self.name)))?;
         let all: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
         let servers = all["servers"].as_array().into_iter().flatten();
         let values = servers.filter_map(|server| server[field].as_f64());
@@ -142,15 +145,19 @@
         Ok(values.sum())
     }
 
-    /// Lets a running process finish what it has, so that its notes are complete.
-    pub async fn settle(&self) -> Result<(), ScenarioError> {
+    /// Ends any freeze of a running process and waits until its requests have finished, so that its
+    /// execution log is complete.
+    pub async fn wait_idle(&self) -> Result<(), ScenarioError> {
         let Some(process) = &self.process else { return Ok(()) };
         process.signal(Signal::CONT)?;
         self.operate("faults", r#"{"freeze":false}"#).await?;
         let began = Instant::now();
         while self.counter("running").await? > 0.0 {
             if began.elapsed() > IDLE_LIMIT {
-                return Err(ScenarioError::bad(format!("{} never becomes idle", self.name)));
+                return Err(ScenarioError::bad(format!(
+                    "{} still runs requests after {IDLE_LIMIT:?}",
+                    self.name
+                )));
             }
             sleep(POLL).await;
         }
--- a/crates/galenapath-dev/src/scenario/cluster.rs
+++ b/crates/galenapath-dev/src/scenario/cluster.rs
@@ -1,7 +1,8 @@
-//! Everything that a scenario started, by name.
+//! State of a running scenario: everything that it has started, by name.
 
 use super::backend::Backends;
 use super::error::ScenarioError;
+use super::execution_check::Executions;
 use super::instance::Instance;
 use super::line::Line;
 use super::net::Net;
@@ -9,9 +10,8 @@
 use super::preset::Preset;
 use super::process::Process;
 use super::programs::Programs;
-use super::send::Sent;
+use super::send::SentRequest;
 use super::store::Store;
-use super::truth::Executions;
 use super::users::Users;
 use crate::link::Relay;
 use crate::load::{Report, Told};
@@ -22,10 +22,10 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// File of the operators' token.
+/// File that contains the operators' token.
 pub const TOKEN_FILE: &str = "token";
 
-/// Where the result of a load in the background appears.
+/// Report of a load that runs in the background; `None` until it ends.
 pub type LoadResult = Rc<RefCell<Option<Report>>>;
 
 /// The processes, requests and loads of a running scenario.
@@ -34,32 +34,32 @@
     pub programs: Programs,
     /// Directory of the scenario's files.
     pub dir: PathBuf,
-    /// Addresses.
+    /// Allocator of addresses.
     pub net: Net,
-    /// Classes of the time before.
+    /// Classes that the scenario adds directly to the store.
     pub preset: Preset,
-    /// The store, once it was started.
+    /// Store, once started.
     pub store: Option<Store>,
     /// The users' platform, for gateways.
     pub users: Users,
     /// Entry instances and gateways.
     pub instances: BTreeMap<String, Instance>,
-    /// Peers' addresses of all instances.
+    /// Peer addresses of all instances; seeds of those that start later.
     pub peers: Vec<SocketAddr>,
-    /// Processes of backend servers.
+    /// Processes of backend servers, by name.
     pub backends: BTreeMap<String, Backends>,
-    /// Single requests.
-    pub sent: BTreeMap<String, Sent>,
-    /// Loads.
+    /// Single requests, by name.
+    pub sent: BTreeMap<String, SentRequest>,
+    /// Loads, by name.
     pub loads: BTreeMap<String, LoadResult>,
     /// Idle connections.
     pub idle: Vec<Conn>,
-    /// Number of runs of `galenactl` and of requests so far.
+    /// Number of runs of `galenactl` and of requests so far, for unique names.
     pub count: usize,
 }
 
 impl Cluster {
-    /// Nothing is started; files go to `dir`.
+    /// Creates a cluster in which nothing is started; its files are written to `dir`.
     pub fn new(programs: Programs, dir: PathBuf) -> Self {
         Self {
             programs,
@@ -78,18 +78,22 @@
         }
     }
 
-    /// The store's address.
+    /// Returns the store's address.
     pub fn store_addr(&self) -> Result<SocketAddr, ScenarioError> {
         let store = self.store.as_ref();
-        store.map(|store| store.addr).ok_or_else(|| ScenarioError::bad("no store"))
+        store
+            .map(|store| store.addr)
+            .ok_or_else(|| ScenarioError::bad("the scenario has not started a store"))
     }
 
-    /// The instance of that name.
+    /// Returns the instance called `name`.
     pub fn instance(&self, name: &str) -> Result<&Instance, ScenarioError> {
-        self.instances.get(name).ok_or_else(|| ScenarioError::bad(format!("no instance {name}")))
+        self.instances
+            .get(name)
+            .ok_or_else(|| ScenarioError::bad(format!("no instance is named {name}")))
     }
 
-    /// The instances of a list such as `e1,e2`, or all for `instances`.
+    /// Returns the names of a list such as `e1,e2`, or all instances for `instances`.
     pub fn instance_names(&self, list: &str) -> Vec<String> {
         match list {
             "instances" => self.instances.keys().cloned().collect(),
@@ -97,8 +101,8 @@
         }
     }
 
-    /// Names of instances and backend processes in a list, all instances for `instances`, all
-    /// backend processes for `backends`.
+    /// Returns the names of a list of instances and backend processes: all instances for
+    /// `instances`, all backend processes for `backends`.
     pub fn process_names(&self, list: &str) -> Vec<String> {
         match list {
             "backends" => self.backends.keys().cloned().collect(),
@@ -106,7 +110,7 @@
         }
     }
 
-    /// The place of a process.
+    /// Returns the process of an instance or of backend servers; `None` inside if it is stopped.
     pub fn process(&mut self, name: &str) -> Result<&mut Option<Process>, ScenarioError> {
         if let Some(instance) = self.instances.get_mut(name) {
             return Ok(&mut instance.process);
@@ -114,16 +118,16 @@
         if let Some(backends) = self.backends.get_mut(name) {
             return Ok(&mut backends.process);
         }
-        Err(ScenarioError::bad(format!("no process {name}")))
+        Err(ScenarioError::bad(format!("no process is named {name}")))
     }
 
-    /// A running process.
+    /// Returns a running process.
     pub fn running(&mut self, name: &str) -> Result<&mut Process, ScenarioError> {
         let process = self.process(name)?.as_mut();
-        process.ok_or_else(|| ScenarioError::bad(format!("{name} does not run")))
+        process.ok_or_else(|| ScenarioError::bad(format!("{name} is not running")))
     }
 
-    /// The links of `NAME`, or of `NAME.store` for an instance's link to the store.
+    /// Returns the links of `NAME`, or an instance's link to the store for `NAME.store`.
     pub fn links(&self, name: &str) -> Result<Vec<&Relay>, ScenarioError> {
         let instance = |name: &str| self.instances.get(name);
         let links: Vec<&Relay> = match (name.strip_suffix(".store"), self.backends.get(name)) {
@@ -139,13 +143,13 @@
         Ok(links)
     }
 
-    /// Starts a run of `galenactl` against an instance, with the operators' token.
+    /// Starts `galenactl` against an instance with the operators' token.
     pub fn operator(&mut self, name: &str, words: &[String]) -> Result<Operator, ScenarioError> {
-        self.operator_with(TOKEN_FILE, name, words)
+        self.operator_with_token(TOKEN_FILE, name, words)
     }
 
-    /// The same with the token in another file of the scenario.
-    pub fn operator_with(
+    /// Starts `galenactl` against an instance with the token in the file `token`.
+    pub fn operator_with_token(
         &mut self,
         token: &str,
         name: &str,
@@ -156,13 +160,13 @@
         Operator::start(&self.programs, addr, token, words, &self.dir, self.count)
     }
 
-    /// A text that no other request of the scenario has.
+    /// Returns a text that is unique among the requests of the scenario.
     pub fn unique(&mut self, line: &Line) -> String {
         self.count += 1;
         format!("{}-{}", line.number, self.count)
     }
 
-    /// What the backend servers noted so far.
+    /// Reads the execution logs of all backend servers.
     pub fn executions(&self) -> Executions {
         let mut executions = Executions::default();
         for backends in self.backends.values() {
@@ -171,18 +175,18 @@
         executions
     }
 
-    /// What callers were told: single requests by key or path, in the order in which they ended,
-    /// then loads.
-    pub fn told(&self) -> Vec<Told> {
+    /// Returns the results that callers received. Single requests come first, joined by key and
+    /// path in the order in which their attempts ended; then those of loads.
+    pub fn caller_results(&self) -> Vec<Told> {
         let mut ended: Vec<_> =
             self.sent.values().filter_map(|sent| Some((sent.ended()?, &sent.spec))).collect();
         ended.sort_by_key(|(end, _)| end.at);
-        let mut told: BTreeMap<(&str, &str), Told> = BTreeMap::new();
+        let mut by_request: BTreeMap<(&str, &str), Told> = BTreeMap::new();
         for (end, spec) in ended {
             let id = (spec.key.as_str(), spec.path.as_str());
-            told.entry(id).or_insert_with(|| Told::new(spec)).record(end.attempt);
+            by_request.entry(id).or_insert_with(|| Told::new(spec)).record(end.attempt);
         }
-        let mut all: Vec<Told> = told.into_values().collect();
+        let mut all: Vec<Told> = by_request.into_values().collect();
         for load in self.loads.values() {
             if let Some(report) = load.borrow().as_ref() {
                 all.extend(report.told.iter().cloned());
@@ -191,13 +195,13 @@
         all
     }
 
-    /// The last output of each process, for a failure's message.
-    pub fn trace(&self) -> String {
+    /// Returns the last output of each process, for error messages.
+    pub fn process_output(&self) -> String {
         let instances = self.instances.iter().map(|(name, i)| (name, i.process.as_ref()));
         let backends = self.backends.iter().map(|(name, b)| (name, b.process.as_ref()));
         let mut text = String::new();
         for (name, process) in instances.chain(backends) {
-            let tail = process.map_or_else(|| "does not run".to_owned(), Process::tail);
+            let tail = process.map_or_else(|| "not running".to_owned(), Process::tail);
             text.push_str(&format!("--- {name}\n{tail}\n"));
         }
         text
--- a/crates/galenapath-dev/src/scenario/condition.rs
+++ b/crates/galenapath-dev/src/scenario/condition.rs
@@ -1,11 +1,11 @@
-//! Conditions on numbers.
+//! Numeric conditions of the steps `expect` and `wait`.
 
 use super::error::ScenarioError;
 use super::line::Line;
 use std::fmt;
 use std::str::FromStr;
 
-/// How two numbers compare.
+/// Comparison operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Compare {
     /// `==`
@@ -27,7 +27,7 @@
             "!=" => Ok(Self::Different),
             "<=" => Ok(Self::AtMost),
             ">=" => Ok(Self::AtLeast),
-            _ => Err(ScenarioError::bad(format!("no comparison: `{text}`"))),
+            _ => Err(ScenarioError::bad(format!("unknown comparison operator `{text}`"))),
         }
     }
 }
@@ -37,20 +37,20 @@
 pub struct Condition {
     /// Name of a process, request or load.
     pub name: String,
-    /// What is counted.
+    /// Name of the counter, metric or figure.
     pub field: String,
-    /// The comparison.
+    /// Comparison operator.
     pub compare: Compare,
-    /// The number.
+    /// Number to compare with.
     pub value: f64,
 }
 
 impl Condition {
-    /// Reads the three words from number `first` on.
+    /// Parses a condition from the three words that start at index `first`.
     ///
     /// # Errors
     ///
-    /// They are no condition.
+    /// The words are not a condition.
     pub fn read(line: &Line, first: usize) -> Result<Self, ScenarioError> {
         let bad = || ScenarioError::bad("expected NAME.FIELD COMPARISON NUMBER");
         let (name, field) = line.word(first).split_once('.').ok_or_else(bad)?;
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Whether `seen` meets it.
+    /// Returns whether `seen` meets the condition.
     pub fn holds(&self, seen: f64) -> bool {
         match self.compare {
             Compare::Equal => seen == self.value,
--- a/crates/galenapath-dev/src/scenario/error.rs
+++ b/crates/galenapath-dev/src/scenario/error.rs
@@ -1,4 +1,4 @@
-//! Why a scenario stopped.
+//! Errors of scenarios.
 
 use super::line::ParseError;
 use crate::wire::WireError;
@@ -6,30 +6,30 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a scenario stopped, in the words of one of its lines.
+/// Error that ends a scenario.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
     /// The file cannot be read.
     #[error("{path}: {source}")]
     File {
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
         /// The cause.
         source: io::Error,
     },
-    /// The text is no scenario.
+    /// The scenario has a syntax error.
     #[error(transparent)]
     Parse(#[from] ParseError),
-    /// A program is not where the build leaves it.
+    /// A program is missing in the output directory of the build.
     #[error("program {0} is missing: run `cargo build --workspace --bins --examples` first")]
     MissingProgram(PathBuf),
-    /// A step is unknown or lacks something.
+    /// A step is unknown, incomplete or cannot be run.
     #[error("bad step: {0}")]
     BadStep(String),
     /// A process, file or socket of the scenario failed.
     #[error("{what}: {source}")]
     Io {
-        /// What was tried.
+        /// Attempted operation.
         what: String,
         /// The cause.
         source: io::Error,
@@ -37,43 +37,43 @@
     /// A call to a process of the scenario failed.
     #[error("{what}: {source}")]
     Call {
-        /// What was tried.
+        /// Attempted operation.
         what: String,
         /// The cause.
         source: WireError,
     },
-    /// A condition did not come true within its limit.
-    #[error("not within {limit_ms} ms: {condition}; last seen: {seen}")]
+    /// A condition did not hold within its limit.
+    #[error("timed out after {limit_ms} ms waiting for: {condition}; last seen: {seen}")]
     Timeout {
         /// The condition.
         condition: String,
-        /// What held at last.
+        /// Last state that was observed.
         seen: String,
         /// The limit in milliseconds.
         limit_ms: u128,
     },
-    /// Something else than expected came.
+    /// A result differs from the expected one.
     #[error("expected {expected}, got {got}")]
     Unexpected {
-        /// What was expected.
+        /// Expected result.
         expected: String,
-        /// What came.
+        /// Actual result.
         got: String,
     },
 }
 
 impl ScenarioError {
-    /// An I/O error with what was tried.
+    /// Returns a function that adds the attempted operation to an I/O error.
     pub fn io(what: impl Into<String>) -> impl FnOnce(io::Error) -> Self {
         |source| Self::Io { what: what.into(), source }
     }
 
-    /// A failed call with what was tried.
+    /// Returns a function that adds the attempted operation to a failed call.
     pub fn call(what: impl Into<String>) -> impl FnOnce(WireError) -> Self {
         |source| Self::Call { what: what.into(), source }
     }
 
-    /// A bad step.
+    /// Creates a [`ScenarioError::BadStep`].
     pub fn bad(text: impl Into<String>) -> Self {
         Self::BadStep(text.into())
     }
--- a/crates/galenapath-dev/src/scenario/execution_check.rs
+++ b/crates/galenapath-dev/src/scenario/execution_check.rs
@@ -1,11 +1,11 @@
-//! Compares what callers were told with what backend servers ran.
+//! Compares the results that callers received with the requests that backend servers ran.
 
 use super::error::ScenarioError;
 use crate::load::{Outcome, Told};
 use galenapath_protocol::FastMap;
 use std::path::Path;
 
-/// What backend servers noted.
+/// Requests that backend servers ran, from their execution logs.
 #[derive(Default)]
 pub struct Executions {
     by_key: FastMap<String, u32>,
@@ -13,7 +13,7 @@
 }
 
 impl Executions {
-    /// Adds the notes of one process; a file that does not exist holds none.
+    /// Adds the execution log of one process. A missing file counts as an empty log.
     pub fn add(&mut self, path: &Path) {
         let text = std::fs::read_to_string(path).unwrap_or_default();
         for line in text.lines() {
@@ -26,46 +26,53 @@
         }
     }
 
-    /// Executions of a request.
-    pub fn of(&self, key: &str, path: &str) -> u32 {
+    /// Number of executions of a request, by its key or, without a key, by its path.
+    pub fn count(&self, key: &str, path: &str) -> u32 {
         let counts = if key.is_empty() { &self.by_path } else { &self.by_key };
         counts.get(if key.is_empty() { path } else { key }).copied().unwrap_or(0)
     }
 
-    /// A key that ran more than once.
+    /// Returns a key that ran more than once and its number of executions.
     pub fn repeated(&self) -> Option<(&str, u32)> {
         let mut repeated = self.by_key.iter().filter(|(_, n)| **n > 1);
         repeated.next().map(|(key, n)| (key.as_str(), *n))
     }
 }
 
-/// Fails where a key ran twice, a caller was told "not run" of something that ran, an answered
-/// request did not run, or a body was wrong.
+/// Fails if a key ran more than once, a request that was reported as "not run" did run, an answered
+/// request did not run, or a caller received a wrong body.
 ///
-/// A key's last word counts: a filing that was told "not run" and sent again may have run since.
-/// A request without a key may run once for each attempt, so all of them must be told "not run".
-pub fn check(executions: &Executions, told: &[Told]) -> Result<(), ScenarioError> {
+/// For a request with a key, only the result of its last attempt counts: after "not run", a retry
+/// may have run it. A request without a key may run once per attempt, so it must not have run only
+/// if all its attempts were reported as "not run".
+pub fn check(executions: &Executions, results: &[Told]) -> Result<(), ScenarioError> {
     if let Some((key, n)) = executions.repeated() {
-        return Err(lie(format!("key {key} runs at most once"), format!("it ran {n} times")));
+        return Err(mismatch(format!("key {key} runs at most once"), format!("it ran {n} times")));
     }
-    for told in told {
-        let ran = executions.of(&told.key, &told.path);
-        let name = if told.key.is_empty() { &told.path } else { &told.key };
-        let last_word = !told.key.is_empty() && told.outcome == Outcome::NotRun;
-        if (told.never_ran || last_word) && ran > 0 {
-            let expected = format!("{name} did not run, as its caller was told");
-            return Err(lie(expected, format!("it ran {ran} times")));
+    for result in results {
+        let ran = executions.count(&result.key, &result.path);
+        let name = if result.key.is_empty() { &result.path } else { &result.key };
+        let is_finally_not_run = !result.key.is_empty() && result.outcome == Outcome::NotRun;
+        if (result.never_ran || is_finally_not_run) && ran > 0 {
+            let expected = format!("{name} did not run, as reported to its caller");
+            return Err(mismatch(expected, format!("it ran {ran} times")));
         }
-        if told.answered && ran == 0 {
-            return Err(lie(format!("{name} ran, since it was answered"), "it did not".to_owned()));
+        if result.answered && ran == 0 {
+            return Err(mismatch(
+                format!("{name} ran, since it was answered"),
+                "it did not".to_owned(),
+            ));
         }
-        if told.outcome == Outcome::Wrong {
-            return Err(lie(format!("{name} gets its own answer"), "another body".to_owned()));
+        if result.outcome == Outcome::Wrong {
+            return Err(mismatch(
+                format!("{name} is answered with its own body"),
+                "a wrong body".to_owned(),
+            ));
         }
     }
     Ok(())
 }
 
-fn lie(expected: String, got: String) -> ScenarioError {
+fn mismatch(expected: String, got: String) -> ScenarioError {
     ScenarioError::Unexpected { expected, got }
 }
--- a/crates/galenapath-dev/src/scenario/expect.rs
+++ b/crates/galenapath-dev/src/scenario/expect.rs
@@ -5,18 +5,18 @@
 use super::error::ScenarioError;
 use super::line::Line;
 use super::process::POLL;
-use super::send::{Sent, outcome_name, read_spec};
+use super::send::{SentRequest, outcome_name, read_spec};
 use super::{metric, run};
 use crate::load::Outcome;
 use monoio::time::sleep;
 use std::time::{Duration, Instant};
 
-/// Limit of a step that names none.
+/// Limit of a step without `within=`.
 const DEFAULT_LIMIT: Duration = Duration::from_secs(15);
-/// Pause between two requests that wait for an answer.
+/// Pause between two attempts of a request or command that a step repeats.
 const RESEND_PAUSE: Duration = Duration::from_millis(50);
 
-/// The step's `within=`.
+/// Returns the time limit of a step, from `within=`.
 pub fn limit(line: &Line) -> Result<Duration, ScenarioError> {
     let Some(text) = line.option("within") else { return Ok(DEFAULT_LIMIT) };
     run::duration(text)
@@ -37,8 +37,8 @@
     };
     let attempt = sent.wait(limit(line)?).await?;
     let got = outcome_name(attempt.outcome());
-    let mut wanted = line.words[2..].iter().filter(|word| *word != "or");
-    if wanted.any(|word| word == got) {
+    let mut expected = line.words[2..].iter().filter(|word| *word != "or");
+    if expected.any(|word| word == got) {
         return Ok(());
     }
     let got = format!("{attempt:?}");
@@ -49,15 +49,15 @@
 /// `wait ctl LIST contains=… WORDS` or `wait NAME.FIELD COMPARISON NUMBER`.
 pub async fn wait(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
     match line.word(1) {
-        "ready" => ready(cluster, line).await,
-        "end" => end(cluster, line).await,
-        "answered" => answered(cluster, line).await,
-        "ctl" => ctl(cluster, line).await,
-        _ => number(cluster, line).await,
+        "ready" => wait_ready(cluster, line).await,
+        "end" => wait_end(cluster, line).await,
+        "answered" => wait_answered(cluster, line).await,
+        "ctl" => wait_ctl(cluster, line).await,
+        _ => wait_condition(cluster, line).await,
     }
 }
 
-/// Time that is left for a step's condition.
+/// Time by which the condition of a step must hold.
 struct Deadline {
     began: Instant,
     limit: Duration,
@@ -68,7 +68,7 @@
         Ok(Self { began: Instant::now(), limit: limit(line)? })
     }
 
-    /// Pauses, or fails once the limit is reached.
+    /// Sleeps for `pause`, or fails if the limit has passed.
     async fn pause(
         &self,
         line: &Line,
@@ -87,7 +87,7 @@
     }
 }
 
-async fn ready(cluster: &Cluster, line: &Line) -> Result<(), ScenarioError> {
+async fn wait_ready(cluster: &Cluster, line: &Line) -> Result<(), ScenarioError> {
     let deadline = Deadline::of(line)?;
     for name in cluster.instance_names(line.word(2)) {
         let instance = cluster.instance(&name)?;
@@ -98,14 +98,14 @@
     Ok(())
 }
 
-async fn end(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
+async fn wait_end(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
     let limit = limit(line)?;
     for name in cluster.process_names(line.word(2)) {
         let status = cluster.running(&name)?.wait_end(limit).await?;
         let code = status.code().map_or("signal".to_owned(), |code| code.to_string());
         let expected = line.option("code").unwrap_or("0");
         if code != expected {
-            let expected = format!("{name} ends with {expected}");
+            let expected = format!("{name} exits with code {expected}");
             return Err(ScenarioError::Unexpected { expected, got: code });
         }
         *cluster.process(&name)? = None;
@@ -113,8 +113,9 @@
     Ok(())
 }
 
-/// Sends the request again and again; only the one that is answered is kept.
-async fn answered(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
+/// Repeats the request, with a new key each time, until one is answered. These requests are not
+/// recorded in the cluster.
+async fn wait_answered(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
     let deadline = Deadline::of(line)?;
     for name in cluster.instance_names(line.word(2)) {
         let addr = cluster.instance(&name)?.callers;
@@ -123,7 +124,7 @@
             let spec = read_spec(line, addr, &unique).await;
             let seen = match spec {
                 Ok(spec) => {
-                    let sent = Sent::start(spec, addr);
+                    let sent = SentRequest::start(spec, addr);
                     let attempt = sent.wait(deadline.limit).await?;
                     if attempt.outcome() == Outcome::Answered {
                         break;
@@ -138,13 +139,13 @@
     Ok(())
 }
 
-async fn ctl(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
+async fn wait_ctl(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
     let deadline = Deadline::of(line)?;
-    let wanted = line.option("contains").unwrap_or("");
+    let expected = line.option("contains").unwrap_or("");
     for name in cluster.instance_names(line.word(2)) {
         loop {
             let ended = cluster.operator(&name, &line.words[3..])?.wait().await?;
-            if ended.code == 0 && ended.output.contains(wanted) {
+            if ended.code == 0 && ended.output.contains(expected) {
                 break;
             }
             let seen = format!("{name}: code {}: {}", ended.code, ended.output);
@@ -154,11 +155,11 @@
     Ok(())
 }
 
-async fn number(cluster: &Cluster, line: &Line) -> Result<(), ScenarioError> {
+async fn wait_condition(cluster: &Cluster, line: &Line) -> Result<(), ScenarioError> {
     let deadline = Deadline::of(line)?;
     let condition = Condition::read(line, 1)?;
     loop {
-        // A process that is starting or down has no number yet.
+        // Reading the metric fails while a process is starting or stopped.
         let seen = metric::read(cluster, &condition.name, &condition.field).await;
         if seen.as_ref().is_ok_and(|seen| condition.holds(*seen)) {
             return Ok(());
--- a/crates/galenapath-dev/src/scenario/instance.rs
+++ b/crates/galenapath-dev/src/scenario/instance.rs
@@ -1,4 +1,4 @@
-//! Entry instances of a scenario.
+//! Entry instances and gateways of a scenario.
 
 use super::error::ScenarioError;
 use super::line::Line;
@@ -10,20 +10,22 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Kilobytes in a megabyte.
-const KB_PER_MB: f64 = 1024.0;
+/// KiB per MiB; `/proc` reports memory in KiB.
+const KIB_PER_MIB: f64 = 1024.0;
 
-/// Port of gateways for each other: the same on all, so that each has a loopback IP of its own.
-const GATEWAY_PEERS: u16 = 9_104;
+/// Peer port of gateways. It is the same for all of them, so each gateway needs a separate loopback
+/// IP.
+const GATEWAY_PEER_PORT: u16 = 9_104;
 
-/// Which of the program's two ways of running it is.
+/// Mode in which the program runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    /// Classes that operators define; readiness on the operators' address.
+enum Mode {
+    /// Entry instance with classes that operators define; reports readiness on the operators'
+    /// address.
     Classes,
-    /// A gateway; readiness on an address of its own.
+    /// Gateway; reports readiness on a separate address.
     Gateway {
-        /// Where it tells whether it is ready.
+        /// Address of the readiness check.
         readiness: SocketAddr,
     },
 }
@@ -31,23 +33,24 @@
 /// An entry instance or a gateway.
 pub struct Instance {
     name: String,
-    way: Way,
+    mode: Mode,
     settings: PathBuf,
     dir: PathBuf,
-    /// Address for operators; a gateway's for metrics.
+    /// Address for operators; for a gateway, the address of its metrics.
     pub operators: SocketAddr,
-    /// Address for callers; the relay's where there is a link.
+    /// Address for callers; with a link, that of the relay.
     pub callers: SocketAddr,
     /// Relay between callers and the instance.
     pub link: Option<Relay>,
     /// Relay between the instance and the store.
     pub store_link: Option<Relay>,
-    /// The process; missing while it is killed or stopped.
+    /// The process; `None` while it is killed or stopped.
     pub process: Option<Process>,
 }
 
 impl Instance {
-    /// Prepares `instance NAME domain=… [link=yes] [store_link=yes]` and starts it.
+    /// `instance NAME domain=… [link=yes] [store_link=yes]`: starts an entry instance. Also returns
+    /// its peer address.
     pub fn start(
         line: &Line,
         programs: &Programs,
@@ -68,7 +71,7 @@
             link,
             store_link,
             process: None,
-            way: Way::Classes,
+            mode: Mode::Classes,
             name,
         };
         let store = instance.store_link.as_ref().map_or(store, |relay| relay.addr);
@@ -90,7 +93,7 @@
         Ok((instance, peers))
     }
 
-    /// Prepares `gateway NAME [domain=…] [store_link=yes]` and starts it.
+    /// `gateway NAME [domain=…] [store_link=yes]`: starts a gateway. Also returns its peer address.
     pub fn start_gateway(
         line: &Line,
         programs: &Programs,
@@ -100,7 +103,7 @@
         dir: &Path,
     ) -> Result<(Self, SocketAddr), ScenarioError> {
         let name = line.word(1).to_owned();
-        let peers = SocketAddr::new(Net::new().ip(), GATEWAY_PEERS);
+        let peers = SocketAddr::new(Net::new().ip(), GATEWAY_PEER_PORT);
         let (callers, readiness) = (net.address()?, net.address()?);
         let (addresses, metrics) = (net.address()?, net.address()?);
         let store_link = relay(line, "store_link", net, store)?;
@@ -118,7 +121,7 @@
         std::fs::write(&settings, text).map_err(ScenarioError::io("settings"))?;
         let mut gateway = Self {
             name,
-            way: Way::Gateway { readiness },
+            mode: Mode::Gateway { readiness },
             settings,
             dir: dir.to_owned(),
             operators: metrics,
@@ -131,11 +134,11 @@
         Ok((gateway, peers))
     }
 
-    /// Starts the process, again on the same addresses.
+    /// Starts the process, or starts it again on the same addresses.
     pub fn restart(&mut self, programs: &Programs) -> Result<(), ScenarioError> {
         self.process = None;
         let mut args = vec!["--settings".to_owned(), self.settings.display().to_string()];
-        if self.way != Way::Classes {
+        if self.mode != Mode::Classes {
             args.insert(0, "gateway".to_owned());
         }
         let process = Process::start(&self.name, &programs.instance, &args, &self.dir)?;
@@ -143,23 +146,25 @@
         Ok(())
     }
 
-    /// Whether the instance says that it is ready.
+    /// Returns whether the instance reports that it is ready.
     pub async fn is_ready(&self) -> bool {
-        let (address, path) = match self.way {
-            Way::Classes => (self.operators, "/readyz"),
-            Way::Gateway { readiness } => (readiness, "/-/ready"),
+        let (address, path) = match self.mode {
+            Mode::Classes => (self.operators, "/readyz"),
+            Mode::Gateway { readiness } => (readiness, "/-/ready"),
         };
         let answer = exchange(address, "GET", path, b"").await;
         answer.is_ok_and(|answer| answer.status.is_success())
     }
 
-    /// A metric's sum over its labels, or `memory_mb`, the resident memory of the process.
+    /// Reads a metric as the sum over its labels, or the resident memory of the process in MiB for
+    /// `memory_mb`.
     pub async fn metric(&self, field: &str) -> Result<f64, ScenarioError> {
         if field == "memory_mb" {
             return self.memory_mb();
         }
         let answer = exchange(self.operators, "GET", "/metrics", b"").await;
-        let answer = answer.map_err(ScenarioError::call(format!("metrics of {}", self.name)))?;
+        let answer =
+            answer.map_err(ScenarioError::call(format!("reading the metrics of {}", self.name)))?;
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         let name = format!("galenapath_{field}");
         let values = text.lines().filter_map(|line| {
@@ -171,12 +176,13 @@
 
     fn memory_mb(&self) -> Result<f64, ScenarioError> {
         let id = self.process.as_ref().map(Process::id);
-        let id = id.ok_or_else(|| ScenarioError::bad(format!("{} does not run", self.name)))?;
+        let id = id.ok_or_else(|| ScenarioError::bad(format!("{} is not running", self.name)))?;
         let status = std::fs::read_to_string(format!("/proc/{id}/status"));
         let status = status.map_err(ScenarioError::io("memory"))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let kb = line.and_then(|rest| rest.split_whitespace().next()?.parse::<f64>().ok());
-        kb.map(|kb| kb / KB_PER_MB).ok_or_else(|| ScenarioError::bad("no VmRSS"))
+        kb.map(|kb| kb / KIB_PER_MIB)
+            .ok_or_else(|| ScenarioError::bad("the status of the process has no VmRSS"))
     }
 }
 
--- a/crates/galenapath-dev/src/scenario/line.rs
+++ b/crates/galenapath-dev/src/scenario/line.rs
@@ -1,4 +1,4 @@
-//! The text form: one step a line, made of words and `name=value` options.
+//! Parser of the scenario language: one step per line, made of words and `name=value` options.
 
 use galenapath_protocol::FastMap;
 use thiserror::Error;
@@ -7,20 +7,20 @@
 use winnow::token::take_while;
 use winnow::{Parser, Result};
 
-/// A text that is no scenario.
+/// Syntax error in a scenario.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("line {line}: cannot be read at `{rest}`")]
+#[error("syntax error in line {line}: `{rest}`")]
 pub struct ParseError {
-    /// Number of the line, from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// What could not be read.
+    /// Text of the line.
     pub rest: String,
 }
 
-/// A part of a line.
+/// A word or an option of a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Word {
-    /// A plain or quoted word.
+    /// A word, quoted or not.
     Plain(String),
     /// `name=value`.
     Named(String, String),
@@ -29,19 +29,19 @@
 /// One step.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Line {
-    /// Number of the line, from 1.
+    /// Line number, starting at 1.
     pub number: usize,
-    /// Its words in order; the first names the step.
+    /// Words in order; the first is the name of the step.
     pub words: Vec<String>,
-    /// Its options.
+    /// Options by name.
     pub options: FastMap<String, String>,
 }
 
-/// Reads a scenario. Empty lines and comments, from `#` to the end of the line, are left out.
+/// Parses a scenario. Empty lines and comments (from `#` to the end of the line) are skipped.
 ///
 /// # Errors
 ///
-/// A line is neither words nor a comment.
+/// A line has a syntax error.
 pub fn parse(text: &str) -> std::result::Result<Vec<Line>, ParseError> {
     let mut lines = Vec::new();
     for (index, text) in text.lines().enumerate() {
@@ -67,12 +67,12 @@
         line
     }
 
-    /// The word at `index`, empty where there are fewer.
+    /// Returns the word at `index`, or an empty string if the line has fewer words.
     pub fn word(&self, index: usize) -> &str {
         self.words.get(index).map_or("", String::as_str)
     }
 
-    /// An option's value.
+    /// Returns the value of an option.
     pub fn option(&self, name: &str) -> Option<&str> {
         self.options.get(name).map(String::as_str)
     }
--- a/crates/galenapath-dev/src/scenario/metric.rs
+++ b/crates/galenapath-dev/src/scenario/metric.rs
@@ -1,4 +1,4 @@
-//! Numbers that conditions are about.
+//! Reads the numbers that conditions compare.
 
 use super::cluster::Cluster;
 use super::error::ScenarioError;
@@ -6,14 +6,16 @@
 use monoio::time::sleep;
 use std::time::{Duration, Instant};
 
-/// Longest that a condition on a load waits for the load's end.
+/// Limit for a load to end when a condition or the end of the scenario waits for it.
 const LOAD_LIMIT: Duration = Duration::from_secs(120);
 
-/// The number `field` of what `name` names.
+/// Reads `field` of the request, load, process or group called `name`.
 pub async fn read(cluster: &Cluster, name: &str, field: &str) -> Result<f64, ScenarioError> {
     if let Some(sent) = cluster.sent.get(name) {
         return match field {
-            "executions" => Ok(f64::from(cluster.executions().of(&sent.spec.key, &sent.spec.path))),
+            "executions" => {
+                Ok(f64::from(cluster.executions().count(&sent.spec.key, &sent.spec.path)))
+            }
             "ms" => Ok(sent.ended().map_or(f64::INFINITY, |end| end.took.as_secs_f64() * 1_000.0)),
             _ => Err(ScenarioError::bad(format!("requests have no {field}"))),
         };
@@ -38,7 +40,7 @@
     }
 }
 
-/// A figure of a load, after its end.
+/// Waits for a load to end and returns one figure of its report.
 async fn load(cluster: &Cluster, name: &str, field: &str) -> Result<f64, ScenarioError> {
     wait_load(cluster, name).await?;
     let result = cluster.loads[name].borrow();
@@ -50,19 +52,21 @@
     value.ok_or_else(|| ScenarioError::bad(format!("loads have no {field}")))
 }
 
-/// Waits for the end of a load.
+/// Waits for a load to end.
 pub async fn wait_load(cluster: &Cluster, name: &str) -> Result<(), ScenarioError> {
     let began = Instant::now();
     while cluster.loads[name].borrow().is_none() {
         if began.elapsed() >= LOAD_LIMIT {
-            return Err(ScenarioError::bad(format!("load {name} does not end")));
+            return Err(ScenarioError::bad(format!(
+                "load {name} did not end within {LOAD_LIMIT:?}"
+            )));
         }
         sleep(POLL).await;
     }
     Ok(())
 }
 
-/// Sum over the processes of backend servers that run.
+/// Returns the sum over the running backend processes.
 async fn all_backends(cluster: &Cluster, field: &str) -> Result<f64, ScenarioError> {
     let mut sum = 0.0;
     for backends in cluster.backends.values().filter(|b| b.process.is_some()) {
@@ -71,7 +75,7 @@
     Ok(sum)
 }
 
-/// Sum over the instances that run.
+/// Returns the sum over the running instances.
 async fn all_instances(cluster: &Cluster, field: &str) -> Result<f64, ScenarioError> {
     let mut sum = 0.0;
     for instance in cluster.instances.values().filter(|i| i.process.is_some()) {
--- a/crates/galenapath-dev/src/scenario/mod.rs
+++ b/crates/galenapath-dev/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios: a small text form that drives the real programs, as processes of their own, through
-//! faults and checks what callers got.
+//! Scenarios: a small text language that runs the real programs as separate processes, injects
+//! faults, and checks the answers that callers receive.
 //!
 //! The language is described in `docs/design/scenarios.md`.
 
@@ -7,6 +7,7 @@
 mod cluster;
 mod condition;
 mod error;
+mod execution_check;
 mod expect;
 mod idle;
 mod instance;
@@ -20,13 +21,12 @@
 mod run;
 mod send;
 mod store;
-mod truth;
 mod users;
 
 pub use crate::link::{LinkFault, Relay};
 pub use condition::{Compare, Condition};
 pub use error::ScenarioError;
+pub use execution_check::{Executions, check};
 pub use line::{Line, ParseError, Word, parse};
 pub use programs::Programs;
 pub use run::run_file;
-pub use truth::{Executions, check};
--- a/crates/galenapath-dev/src/scenario/net.rs
+++ b/crates/galenapath-dev/src/scenario/net.rs
@@ -1,23 +1,24 @@
-//! Addresses of one scenario.
+//! Allocation of addresses for a scenario.
 
 use super::error::ScenarioError;
 use rand::RngExt;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 
-/// First port given out; below the system's own range, so that no outgoing connection takes one.
+/// First port to allocate. The ports are below the system's ephemeral range, so that no outgoing
+/// connection takes one.
 const FIRST_PORT: u16 = 10_000;
-/// Last port that is tried.
+/// End of the range of ports, exclusive.
 const LAST_PORT: u16 = 30_000;
 
-/// Gives out addresses on a loopback IP of the scenario's own, so that scenarios that run side by
-/// side do not meet.
+/// Allocates addresses on a random loopback IP, so that scenarios can run in parallel without
+/// sharing addresses.
 pub struct Net {
     ip: IpAddr,
     next: u16,
 }
 
 impl Net {
-    /// A random loopback IP.
+    /// Selects a random loopback IP.
     pub fn new() -> Self {
         let mut rng = rand::rng();
         let (a, b, c) =
@@ -25,12 +26,12 @@
         Self { ip: IpAddr::V4(Ipv4Addr::new(127, a, b, c)), next: FIRST_PORT }
     }
 
-    /// The loopback IP.
+    /// Returns the loopback IP.
     pub fn ip(&self) -> IpAddr {
         self.ip
     }
 
-    /// An address that nothing listens on and that is not given out again.
+    /// Allocates an address that is free and was not allocated before.
     pub fn address(&mut self) -> Result<SocketAddr, ScenarioError> {
         while self.next < LAST_PORT {
             let addr = SocketAddr::new(self.ip, self.next);
--- a/crates/galenapath-dev/src/scenario/operator.rs
+++ b/crates/galenapath-dev/src/scenario/operator.rs
@@ -1,4 +1,4 @@
-//! Operators of a scenario: runs of `galenactl`.
+//! Runs of the operators' command-line tool `galenactl`.
 
 use super::error::ScenarioError;
 use super::process::POLL;
@@ -10,27 +10,27 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Longest run of one command.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Limit for one command to end.
+const RUN_LIMIT: Duration = Duration::from_secs(30);
 
-/// A command that runs.
+/// A running command, killed on drop.
 pub struct Operator {
     child: Child,
     out: std::path::PathBuf,
 }
 
-/// How a command ended.
+/// Result of a command.
 #[derive(Debug)]
-pub struct Ended {
+pub struct OperatorExit {
     /// Exit code.
     pub code: i32,
-    /// Everything that it printed.
+    /// Standard output and standard error.
     pub output: String,
 }
 
 impl Operator {
-    /// Starts `galenactl` with `words` against the instance at `addr`, with the token in the file
-    /// `token` of `dir`.
+    /// Starts `galenactl` with the arguments `words` against the instance at `addr`, with the token
+    /// in the file `token` of `dir`.
     pub fn start(
         programs: &Programs,
         addr: SocketAddr,
@@ -55,17 +55,19 @@
         Ok(Self { child, out })
     }
 
-    /// Waits for the end.
-    pub async fn wait(mut self) -> Result<Ended, ScenarioError> {
+    /// Waits until the command ends.
+    pub async fn wait(mut self) -> Result<OperatorExit, ScenarioError> {
         let began = Instant::now();
         loop {
             let status = self.child.try_wait().map_err(ScenarioError::io("galenactl"))?;
             if let Some(status) = status {
                 let output = std::fs::read_to_string(&self.out).unwrap_or_default();
-                return Ok(Ended { code: status.code().unwrap_or(-1), output });
+                return Ok(OperatorExit { code: status.code().unwrap_or(-1), output });
             }
-            if began.elapsed() > LIMIT {
-                return Err(ScenarioError::bad("galenactl does not end"));
+            if began.elapsed() > RUN_LIMIT {
+                return Err(ScenarioError::bad(format!(
+                    "galenactl did not end within {RUN_LIMIT:?}"
+                )));
             }
             sleep(POLL).await;
         }
@@ -74,7 +76,7 @@
 
 impl Drop for Operator {
     fn drop(&mut self) {
-        // Fails only on a command that has ended.
+        // Both fail only if the command has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/galenapath-dev/src/scenario/preset.rs
+++ b/crates/galenapath-dev/src/scenario/preset.rs
@@ -1,7 +1,7 @@
-//! Classes that were created before a scenario begins.
+//! Classes that exist before a scenario starts.
 //!
-//! They are written to the store as accepted changes, so that a scenario about something else
-//! depends on no operator.
+//! They are written to the store as accepted changes, so that scenarios that test other features
+//! do not depend on the operators' API.
 
 use super::error::ScenarioError;
 use super::line::Line;
@@ -13,15 +13,15 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The changes written so far.
+/// The classes added so far.
 #[derive(Default)]
 pub struct Preset {
     head: Head,
 }
 
 impl Preset {
-    /// Adds the class of `class NAME service=… kind=… [path=…] [methods=…] [target_ms=…]
-    /// [share=…]` and writes all to the store.
+    /// Runs `class NAME service=… kind=… [path=…] [methods=…] [target_ms=…]
+    /// [share=…]`: adds the class and writes all classes to the store.
     pub async fn add(&mut self, line: &Line, store: SocketAddr) -> Result<(), ScenarioError> {
         let bad = |text: String| ScenarioError::bad(format!("class: {text}"));
         let class = read_class(line)?;
@@ -35,11 +35,11 @@
         let value = encode_head(&self.head).map_err(|e| bad(e.to_string()))?;
         let path = format!("/v1/kv/{HEAD_KEY}");
         let read = exchange(store, "GET", &path, b"").await;
-        let read = read.map_err(ScenarioError::call("read of the classes"))?;
+        let read = read.map_err(ScenarioError::call("reading the classes from the store"))?;
         let entries: serde_json::Value = serde_json::from_slice(&read.body).unwrap_or_default();
         let cas = entries[0]["ModifyIndex"].as_u64().unwrap_or(0);
         let answer = exchange(store, "PUT", &format!("{path}?cas={cas}"), &value).await;
-        let answer = answer.map_err(ScenarioError::call("write of the classes"))?;
+        let answer = answer.map_err(ScenarioError::call("writing the classes to the store"))?;
         match answer.body.trim_ascii() {
             b"true" => Ok(()),
             other => Err(bad(String::from_utf8_lossy(other).into_owned())),
@@ -52,7 +52,7 @@
         Some("filing") => ClassKind::Filing,
         Some("transfer") => ClassKind::Transfer,
         Some("lookup") | None => ClassKind::Lookup,
-        Some(other) => return Err(ScenarioError::bad(format!("no kind of class: {other}"))),
+        Some(other) => return Err(ScenarioError::bad(format!("unknown kind of class `{other}`"))),
     };
     let methods = line.option("methods").unwrap_or("");
     let number = |name: &str, default: f64| match line.option(name) {
@@ -68,7 +68,7 @@
         path_prefix: line.option("path").unwrap_or("/").to_owned(),
         target: Target {
             latency_ms: number("target_ms", 1_000.0)? as u32,
-            share: share.ok_or_else(|| ScenarioError::bad("share lies outside 0 and 1"))?,
+            share: share.ok_or_else(|| ScenarioError::bad("share must be between 0 and 1"))?,
         },
         revision: Version(0),
     })
--- a/crates/galenapath-dev/src/scenario/process.rs
+++ b/crates/galenapath-dev/src/scenario/process.rs
@@ -1,4 +1,4 @@
-//! One process of a scenario.
+//! Child processes of a scenario.
 
 use super::error::ScenarioError;
 use monoio::time::sleep;
@@ -8,12 +8,12 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// How often conditions are looked at.
+/// Interval at which conditions are checked.
 pub const POLL: Duration = Duration::from_millis(10);
-/// Number of lines of output that a failure shows.
+/// Number of lines of output that an error message contains.
 const TAIL_LINES: usize = 15;
 
-/// A process that is killed when the guard is dropped. Its output goes to files.
+/// A child process, killed on drop. Its output is appended to files.
 pub struct Process {
     name: String,
     child: Child,
@@ -21,7 +21,7 @@
 }
 
 impl Process {
-    /// Starts `program`; `dir` takes its output.
+    /// Starts `program`. Its output goes to `NAME.out` and `NAME.err` in `dir`.
     pub fn start(
         name: &str,
         program: &Path,
@@ -44,7 +44,7 @@
         Ok(Self { name: name.to_owned(), child, dir: dir.to_owned() })
     }
 
-    /// Process identifier.
+    /// Returns the process ID.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -57,19 +57,19 @@
             .map_err(|e| ScenarioError::io(format!("signal {}", self.name))(e.into()))
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
-        // Both fail only on a process that has ended already.
+        // Both fail only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// How the process ended, if it did.
+    /// Returns the exit status if the process has exited.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits for the end.
+    /// Waits until the process exits, for `limit` at most.
     pub async fn wait_end(&mut self, limit: Duration) -> Result<ExitStatus, ScenarioError> {
         let began = Instant::now();
         loop {
@@ -78,8 +78,8 @@
             }
             if began.elapsed() >= limit {
                 return Err(ScenarioError::Timeout {
-                    condition: format!("{} ends", self.name),
-                    seen: "it runs".to_owned(),
+                    condition: format!("{} exits", self.name),
+                    seen: "it is still running".to_owned(),
                     limit_ms: limit.as_millis(),
                 });
             }
@@ -87,12 +87,13 @@
         }
     }
 
-    /// Everything the process printed so far.
+    /// Returns the standard output of the process so far.
     pub fn output(&self) -> String {
         std::fs::read_to_string(self.dir.join(format!("{}.out", self.name))).unwrap_or_default()
     }
 
-    /// Waits until a printed line begins with `prefix`; gives its rest.
+    /// Waits until the process prints a line that starts with `prefix`; returns the rest of the
+    /// line.
     pub async fn wait_line(
         &mut self,
         prefix: &str,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// The last lines of the output, for a failure's message.
+    /// Returns the last lines of the output, after any earlier panic messages, for error messages.
     pub fn tail(&self) -> String {
         let read = |kind: &str| {
             let path = self.dir.join(format!("{}.{kind}", self.name));
--- a/crates/galenapath-dev/src/scenario/programs.rs
+++ b/crates/galenapath-dev/src/scenario/programs.rs
@@ -1,23 +1,23 @@
-//! Where the programs are.
+//! Paths of the programs that scenarios start.
 
 use super::error::ScenarioError;
 use std::path::{Path, PathBuf};
 
-/// The programs that scenarios start.
+/// Paths of the programs that scenarios start.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The entry instance.
+    /// Entry instance.
     pub instance: PathBuf,
-    /// The operators' command line.
+    /// Operators' command-line tool.
     pub operator: PathBuf,
-    /// Stand-in of the platform's store.
+    /// Stand-in for the platform's store.
     pub store: PathBuf,
-    /// Stand-in of backend servers.
+    /// Stand-in for backend servers.
     pub backend: PathBuf,
 }
 
 impl Programs {
-    /// The programs of a build whose output directory is `dir`.
+    /// Finds the programs in `dir`, the output directory of a build.
     ///
     /// # Errors
     ///
@@ -35,11 +35,12 @@
         })
     }
 
-    /// The programs beside the running test, which lies in `deps/` of the output directory.
+    /// Finds the programs of the build that the running test belongs to. The test is in `deps/` of
+    /// the output directory.
     ///
     /// # Errors
     ///
-    /// One of them is missing, or the test's own path is unknown.
+    /// One of them is missing, or the path of the test is unknown.
     pub fn beside_test() -> Result<Self, ScenarioError> {
         let exe = std::env::current_exe().map_err(ScenarioError::io("path of the test"))?;
         let dir = exe.parent().and_then(Path::parent).unwrap_or(Path::new("."));
--- a/crates/galenapath-dev/src/scenario/run.rs
+++ b/crates/galenapath-dev/src/scenario/run.rs
@@ -1,4 +1,4 @@
-//! Carries out the steps of a scenario in order.
+//! Runs the steps of a scenario in order.
 
 use super::backend::Backends;
 use super::cluster::{Cluster, TOKEN_FILE};
@@ -7,9 +7,9 @@
 use super::instance::Instance;
 use super::line::{Line, parse};
 use super::programs::Programs;
-use super::send::{Sent, read_spec};
+use super::send::{SentRequest, read_spec};
 use super::store::Store;
-use super::{idle, metric, truth};
+use super::{execution_check, idle, metric};
 use crate::link::LinkFault;
 use crate::load::{self, ClassLoad};
 use clap::Parser;
@@ -20,20 +20,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Token that the operators of a scenario share.
+/// Operators' token that all instances of a scenario accept.
 const TOKEN: &str = "scenario-operators-token\n";
-/// Token that no instance takes, and its file.
-const WRONG_TOKEN: &str = "scenario-wrong-token\n";
-const WRONG_TOKEN_FILE: &str = "wrong-token";
-/// Longest wait for the end of a request once the steps are done.
-const LAST_ANSWER_LIMIT: Duration = Duration::from_secs(60);
+/// Token that no instance accepts, and its file.
+const INVALID_TOKEN: &str = "scenario-wrong-token\n";
+const INVALID_TOKEN_FILE: &str = "wrong-token";
+/// Limit for each request that is still running after the last step.
+const FINAL_ANSWER_LIMIT: Duration = Duration::from_secs(60);
 
-/// Runs the scenario in `file` with its files in `dir`. The text of a failure names the line and
-/// ends with the last output of each process.
+/// Runs the scenario in `file`; its processes write their files to `dir`. The error text names the
+/// failed line and ends with the last output of each process.
 ///
 /// # Errors
 ///
-/// A step failed, or callers were told something else than what backend servers did.
+/// A step failed, or the results that callers received contradict what the backend servers ran.
 pub fn run_file(file: &Path, programs: Programs, dir: &Path) -> Result<(), String> {
     let runtime = RuntimeBuilder::<LegacyDriver>::new().enable_timer().build();
     let mut runtime = runtime.map_err(|e| e.to_string())?;
@@ -43,70 +43,73 @@
         write_tokens(dir).map_err(|e| e.to_string())?;
         let mut cluster = Cluster::new(programs, dir.to_owned());
         for line in &lines {
-            if let Err(e) = step(&mut cluster, line).await {
-                let place = format!("{}:{}", file.display(), line.number);
+            if let Err(e) = run_step(&mut cluster, line).await {
+                let location = format!("{}:{}", file.display(), line.number);
                 return Err(format!(
-                    "{place}: `{}`: {e}\n{}",
+                    "{location}: `{}`: {e}\n{}",
                     line.words.join(" "),
-                    cluster.trace()
+                    cluster.process_output()
                 ));
             }
         }
-        finish(&cluster).await.map_err(|e| format!("at the end: {e}\n{}", cluster.trace()))
+        finish(&cluster)
+            .await
+            .map_err(|e| format!("after the last step: {e}\n{}", cluster.process_output()))
     })
 }
 
 fn write_tokens(dir: &Path) -> std::io::Result<()> {
     std::fs::write(dir.join(TOKEN_FILE), TOKEN)?;
-    std::fs::write(dir.join(WRONG_TOKEN_FILE), WRONG_TOKEN)
+    std::fs::write(dir.join(INVALID_TOKEN_FILE), INVALID_TOKEN)
 }
 
-/// Waits for everything that still runs, then compares what was told with what ran.
+/// Waits for loads, requests and backend servers to finish, then compares the results that callers
+/// received with what the backend servers ran.
 async fn finish(cluster: &Cluster) -> Result<(), ScenarioError> {
     for name in cluster.loads.keys() {
         metric::wait_load(cluster, name).await?;
     }
     for sent in cluster.sent.values() {
-        sent.wait(LAST_ANSWER_LIMIT).await?;
+        sent.wait(FINAL_ANSWER_LIMIT).await?;
     }
     for backends in cluster.backends.values() {
-        backends.settle().await?;
+        backends.wait_idle().await?;
     }
     cluster.users.check()?;
-    truth::check(&cluster.executions(), &cluster.told())
+    execution_check::check(&cluster.executions(), &cluster.caller_results())
 }
 
-async fn step(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
+async fn run_step(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
     match line.word(0) {
         "store" | "class" | "backend" | "instance" | "start" => start(cluster, line).await,
         "gateway" | "server" | "routes" | "mark" | "trouble" | "cool" | "says" | "evacuate"
-        | "restore" => on_users_platform(cluster, line),
+        | "restore" => run_users_platform_step(cluster, line),
         "press" => {
             let names = cluster.process_names(line.word(1));
             let callers = names.iter().map(|name| Ok(cluster.instance(name)?.callers));
             let to = callers.collect::<Result<Vec<_>, ScenarioError>>()?;
-            cluster.users.press(line, &to).await
+            cluster.users.send_lookups(line, &to).await
         }
         "ask" => {
             let addr = cluster.instance(line.word(2))?.callers;
-            cluster.users.ask(line, addr).await
+            cluster.users.send_request(line, addr).await
         }
-        "send" | "resend" | "load" | "idle" => call(cluster, line).await,
-        "freeze" | "thaw" | "kill" | "stop" | "roll" => control(cluster, line).await,
-        "cut" | "hold" | "delay" | "mend" => link(cluster, line),
+        "send" | "resend" | "load" | "idle" => send(cluster, line).await,
+        "freeze" | "thaw" | "kill" | "stop" | "roll" => control_processes(cluster, line).await,
+        "cut" | "hold" | "delay" | "mend" => set_link_fault(cluster, line),
         "platform" => match &cluster.store {
             Some(store) => store.set_faults(line).await,
-            None => Err(ScenarioError::bad("no store")),
+            None => Err(ScenarioError::bad("the scenario has not started a store")),
         },
-        "fault" | "drain" | "crash" => operate(cluster, line).await,
-        "ctl" | "race" => change(cluster, line).await,
+        "fault" | "drain" | "crash" => operate_backends(cluster, line).await,
+        "ctl" | "race" => run_operators(cluster, line).await,
         "expect" => expect(cluster, line).await,
         "wait" => wait(cluster, line).await,
         other => Err(ScenarioError::bad(format!("unknown step `{other}`"))),
     }
 }
 
-fn on_users_platform(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
+fn run_users_platform_step(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
     match line.word(0) {
         "gateway" => {
             let store = cluster.users.store_addr()?;
@@ -118,10 +121,10 @@
             Ok(())
         }
         "server" => cluster.users.start_server(line),
-        "routes" => cluster.users.configure(line),
-        "mark" => cluster.users.mark(line.word(1), line.word(2)),
-        "cool" => cluster.users.cool(line),
-        "says" => cluster.users.say(line),
+        "routes" => cluster.users.set_routes(line),
+        "mark" => cluster.users.set_entry_state(line.word(1), line.word(2)),
+        "cool" => cluster.users.set_cold(line),
+        "says" => cluster.users.set_stated_limits(line),
         "evacuate" => {
             cluster.users.evacuate(line.word(1));
             Ok(())
@@ -130,7 +133,7 @@
             cluster.users.restore(line.word(1));
             Ok(())
         }
-        _ => cluster.users.trouble(line.word(1), line.word(2)),
+        _ => cluster.users.set_fault(line.word(1), line.word(2)),
     }
 }
 
@@ -171,32 +174,35 @@
         } else if let Some(backends) = cluster.backends.get_mut(&name) {
             backends.restart(&cluster.programs).await?;
         } else {
-            return Err(ScenarioError::bad(format!("no process {name}")));
+            return Err(ScenarioError::bad(format!("no process is named {name}")));
         }
     }
     Ok(())
 }
 
-async fn call(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
+async fn send(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
     match line.word(0) {
         "send" => {
             let addr = cluster.instance(line.word(2))?.callers;
             let unique = cluster.unique(line);
             let spec = read_spec(line, addr, &unique).await?;
-            cluster.sent.insert(line.word(1).to_owned(), Sent::start(spec, addr));
+            cluster.sent.insert(line.word(1).to_owned(), SentRequest::start(spec, addr));
         }
         "resend" => {
             // resend ID as OTHER to INSTANCE
             let sent = cluster.sent.get(line.word(1));
             let spec = sent.map(|sent| sent.spec.clone());
-            let spec = spec.ok_or_else(|| ScenarioError::bad("no such request"))?;
+            let spec = spec.ok_or_else(|| ScenarioError::bad("no request has this name"))?;
             let addr = cluster.instance(line.word(5))?.callers;
-            cluster.sent.insert(line.word(3).to_owned(), Sent::start(spec, addr));
+            cluster.sent.insert(line.word(3).to_owned(), SentRequest::start(spec, addr));
         }
         "idle" => {
             // idle COUNT to INSTANCE
             let addr = cluster.instance(line.word(3))?.callers;
-            let count = line.word(1).parse().map_err(|_| ScenarioError::bad("no count"))?;
+            let count = line
+                .word(1)
+                .parse()
+                .map_err(|_| ScenarioError::bad("the count must be a whole number"))?;
             cluster.idle.append(&mut idle::open(addr, count).await?);
         }
         _ => start_load(cluster, line)?,
@@ -207,8 +213,8 @@
 /// `load ID LIST for=… attempts=… CLASS-OPTIONS`
 fn start_load(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
     let mut args = vec!["load".to_owned(), "--class".to_owned()];
-    let own = ["for", "attempts"];
-    let fields = line.options.iter().filter(|(name, _)| !own.contains(&name.as_str()));
+    let load_options = ["for", "attempts"];
+    let fields = line.options.iter().filter(|(name, _)| !load_options.contains(&name.as_str()));
     let mut spec = format!("name={}", line.word(1));
     fields.for_each(|(name, value)| spec.push_str(&format!(",{name}={value}")));
     spec.parse::<ClassLoad>().map_err(|e| ScenarioError::bad(e.to_string()))?;
@@ -229,7 +235,7 @@
     Ok(())
 }
 
-async fn control(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
+async fn control_processes(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
     for name in cluster.process_names(line.word(1)) {
         match line.word(0) {
             "freeze" => cluster.running(&name)?.signal(Signal::STOP)?,
@@ -242,14 +248,14 @@
     Ok(())
 }
 
-/// A planned stop and start of one process.
+/// Stops a process with SIGTERM and starts it again; waits until an instance is ready.
 async fn roll(cluster: &mut Cluster, line: &Line, name: &str) -> Result<(), ScenarioError> {
     let limit = limit(line)?;
     let process = cluster.running(name)?;
     process.signal(Signal::TERM)?;
     let status = process.wait_end(limit).await?;
     if !status.success() {
-        let expected = format!("{name} ends with 0");
+        let expected = format!("{name} exits with code 0");
         return Err(ScenarioError::Unexpected { expected, got: status.to_string() });
     }
     restart(cluster, name).await?;
@@ -261,7 +267,7 @@
     Ok(())
 }
 
-fn link(cluster: &Cluster, line: &Line) -> Result<(), ScenarioError> {
+fn set_link_fault(cluster: &Cluster, line: &Line) -> Result<(), ScenarioError> {
     let fault = match (line.word(0), line.option("replies")) {
         ("cut", Some(_)) => LinkFault::CutReplies,
         ("cut", None) => LinkFault::Cut,
@@ -275,10 +281,11 @@
     Ok(())
 }
 
-async fn operate(cluster: &Cluster, line: &Line) -> Result<(), ScenarioError> {
+async fn operate_backends(cluster: &Cluster, line: &Line) -> Result<(), ScenarioError> {
     for name in cluster.process_names(line.word(1)) {
         let backends = cluster.backends.get(&name);
-        let backends = backends.ok_or_else(|| ScenarioError::bad(format!("no backends {name}")))?;
+        let backends = backends
+            .ok_or_else(|| ScenarioError::bad(format!("no backend process is named {name}")))?;
         match line.word(0) {
             "fault" => backends.set_faults(line).await?,
             operation => {
@@ -292,10 +299,11 @@
 }
 
 /// `ctl INSTANCE [exit=…] [token=wrong] WORDS…` or `race accepted=… (INSTANCE "WORDS")…`
-async fn change(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
+async fn run_operators(cluster: &mut Cluster, line: &Line) -> Result<(), ScenarioError> {
     if line.word(0) == "ctl" {
-        let token = if line.option("token").is_some() { WRONG_TOKEN_FILE } else { TOKEN_FILE };
-        let ended = cluster.operator_with(token, line.word(1), &line.words[2..])?.wait().await?;
+        let token = if line.option("token").is_some() { INVALID_TOKEN_FILE } else { TOKEN_FILE };
+        let ended =
+            cluster.operator_with_token(token, line.word(1), &line.words[2..])?.wait().await?;
         let expected = line.option("exit").unwrap_or("0");
         if ended.code.to_string() == expected {
             return Ok(());
@@ -320,7 +328,7 @@
     Err(ScenarioError::Unexpected { expected, got: format!("{accepted}: {ends:?}") })
 }
 
-/// Reads a time such as `250ms`.
+/// Parses a duration such as `250ms`.
 pub fn duration(text: &str) -> Result<Duration, ScenarioError> {
     humantime::parse_duration(text).map_err(|e| ScenarioError::bad(format!("{text}: {e}")))
 }
--- a/crates/galenapath-dev/src/scenario/send.rs
+++ b/crates/galenapath-dev/src/scenario/send.rs
@@ -1,4 +1,4 @@
-//! Single requests of a scenario, each sent in the background.
+//! Single requests of a scenario, sent in the background.
 
 use super::error::ScenarioError;
 use super::line::Line;
@@ -11,49 +11,49 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Bytes from which an answer is read on a thread of its own.
-const LARGE: u64 = 1 << 20;
+/// Answers of at least this many bytes are read on a separate thread.
+const OWN_THREAD_MIN_BYTES: u64 = 1 << 20;
 
-/// Longest that a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Limit for an answer to arrive.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A request that was sent once.
-pub struct Sent {
-    /// What it says.
+/// A request that was sent once, without retries.
+pub struct SentRequest {
+    /// Contents of the request.
     pub spec: RequestSpec,
-    end: Arc<Mutex<Option<End>>>,
+    end: Arc<Mutex<Option<RequestEnd>>>,
 }
 
-/// How a request ended.
+/// Result of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct End {
-    /// What its caller got.
+pub struct RequestEnd {
+    /// Result as its caller knows it.
     pub attempt: Attempt,
-    /// Time that it took.
+    /// Time from sending to the end.
     pub took: Duration,
     /// When it ended.
     pub at: Instant,
 }
 
-impl Sent {
-    /// Sends `spec` to `addr` on a connection of its own.
+impl SentRequest {
+    /// Sends `spec` to `addr` on a separate connection, in the background.
     pub fn start(spec: RequestSpec, addr: SocketAddr) -> Self {
         let end = Arc::default();
         let result = Arc::clone(&end);
-        if spec.bytes.is_some_and(|bytes| bytes >= LARGE) {
-            on_own_thread(spec.clone(), addr, result);
+        if spec.bytes.is_some_and(|bytes| bytes >= OWN_THREAD_MIN_BYTES) {
+            send_on_thread(spec.clone(), addr, result);
         } else {
             monoio::spawn(send(spec.clone(), addr, result));
         }
         Self { spec, end }
     }
 
-    /// How it ended, if it did.
-    pub fn ended(&self) -> Option<End> {
+    /// Returns the result if the request has ended.
+    pub fn ended(&self) -> Option<RequestEnd> {
         *self.end.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for the end.
+    /// Waits until the request ends, for `limit` at most.
     pub async fn wait(&self, limit: Duration) -> Result<Attempt, ScenarioError> {
         let began = Instant::now();
         loop {
@@ -72,30 +72,30 @@
     }
 }
 
-async fn send(spec: RequestSpec, addr: SocketAddr, end: Arc<Mutex<Option<End>>>) {
+async fn send(spec: RequestSpec, addr: SocketAddr, end: Arc<Mutex<Option<RequestEnd>>>) {
     let began = Instant::now();
     let (req, pool) = (Request::new(spec), Pool::default());
-    let attempt = timeout(PATIENCE, req.send(&pool, addr)).await;
+    let attempt = timeout(ANSWER_TIMEOUT, req.send(&pool, addr)).await;
     let attempt = attempt.unwrap_or(Attempt::Broken);
-    let ended = End { attempt, took: began.elapsed(), at: Instant::now() };
+    let ended = RequestEnd { attempt, took: began.elapsed(), at: Instant::now() };
     *end.lock().unwrap_or_else(PoisonError::into_inner) = Some(ended);
 }
 
-/// Sends as a program of its own would: reading and checking hundreds of megabytes would take the processor
-/// from callers whose times are measured.
-fn on_own_thread(spec: RequestSpec, addr: SocketAddr, end: Arc<Mutex<Option<End>>>) {
+/// Sends a request on a separate thread. Reading and checking a body of hundreds of megabytes on
+/// the runtime's thread would delay the other callers and distort their latencies.
+fn send_on_thread(spec: RequestSpec, addr: SocketAddr, end: Arc<Mutex<Option<RequestEnd>>>) {
     std::thread::spawn(move || {
         let runtime = RuntimeBuilder::<LegacyDriver>::new().enable_timer().build();
         match runtime {
             Ok(mut runtime) => runtime.block_on(send(spec, addr, end)),
-            // The request has no end then, and whoever waits for it says so.
-            Err(e) => eprintln!("no runtime for a request: {e}"),
+            // The request never ends then, and a step that waits for it times out.
+            Err(e) => eprintln!("cannot start the runtime of a request: {e}"),
         }
     });
 }
 
-/// The request of `send ID INSTANCE METHOD SERVICE PATH [key=auto|TEXT] [deadline_ms=…] [bytes=…]
-/// [same_path=yes]`.
+/// Parses the request of `send ID INSTANCE METHOD SERVICE PATH [key=auto|TEXT] [deadline_ms=…]
+/// [bytes=…] [same_path=yes]`. Unless `same_path` is set, a nonce makes the path unique.
 pub async fn read_spec(
     line: &Line,
     addr: SocketAddr,
@@ -103,10 +103,10 @@
 ) -> Result<RequestSpec, ScenarioError> {
     let service = line.word(4).to_owned();
     let number = |name| line.option(name).and_then(|text| text.parse::<u64>().ok());
-    let joint = if line.word(5).contains('?') { '&' } else { '?' };
+    let separator = if line.word(5).contains('?') { '&' } else { '?' };
     let mut path = match line.option("same_path") {
         Some(_) => line.word(5).to_owned(),
-        None => format!("{}{joint}nonce={unique}", line.word(5)),
+        None => format!("{}{separator}nonce={unique}", line.word(5)),
     };
     if let Some(bytes) = number("bytes") {
         path.push_str(&format!("&bytes={bytes}"));
@@ -130,7 +130,7 @@
 async fn key_prefix(addr: SocketAddr, service: &str) -> Result<String, ScenarioError> {
     let path = format!("/v1/entries?service={service}");
     let answer = exchange(addr, "GET", &path, b"").await;
-    let answer = answer.map_err(ScenarioError::call("address answer"))?;
+    let answer = answer.map_err(ScenarioError::call("requesting addresses"))?;
     let value: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     let prefix = value["key_prefix"].as_str();
     prefix.map(str::to_owned).ok_or_else(|| {
@@ -139,7 +139,7 @@
     })
 }
 
-/// The name of an outcome in scenarios.
+/// Returns the name of an outcome in scenarios.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Answered => "answered",
--- a/crates/galenapath-dev/src/scenario/store.rs
+++ b/crates/galenapath-dev/src/scenario/store.rs
@@ -1,4 +1,4 @@
-//! The store of a scenario.
+//! The platform's store in a scenario.
 
 use super::error::ScenarioError;
 use super::line::Line;
@@ -10,19 +10,19 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Longest start of a stand-in.
+/// Limit for a stand-in to start.
 pub const START_LIMIT: Duration = Duration::from_secs(20);
 
-/// The running stand-in of the platform's store.
+/// Running stand-in for the platform's store.
 pub struct Store {
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Ends the process when it is dropped.
+    /// Kills the process on drop.
     _process: Process,
 }
 
 impl Store {
-    /// Starts it: `store [list_lag_ms=…] [call_ms=…]`.
+    /// `store [list_lag_ms=…] [call_ms=…]`: starts the store.
     pub async fn start(
         line: &Line,
         programs: &Programs,
@@ -40,7 +40,8 @@
         Ok(Self { addr, _process: process })
     }
 
-    /// Replaces its faults: `platform [down=true] [frozen=true] [slow_ms=…] [lose_replies=…] …`.
+    /// `platform [down=true] [frozen=true] [slow_ms=…] [lose_replies=…] …`: replaces the store's
+    /// faults.
     pub async fn set_faults(&self, line: &Line) -> Result<(), ScenarioError> {
         let mut faults = serde_json::Map::new();
         for (name, value) in &line.options {
@@ -48,17 +49,17 @@
         }
         let body = serde_json::Value::Object(faults).to_string();
         let answer = exchange(self.addr, "PUT", "/admin/faults", body.as_bytes()).await;
-        let answer = answer.map_err(ScenarioError::call("faults of the store"))?;
+        let answer = answer.map_err(ScenarioError::call("setting the faults of the store"))?;
         if answer.status.is_success() {
             return Ok(());
         }
         Err(ScenarioError::bad(String::from_utf8_lossy(&answer.body)))
     }
 
-    /// One of its counters, or the calls of a kind, or `total`.
+    /// Reads a counter: a named one, the number of calls of one kind, or `total` for all calls.
     pub async fn counter(&self, field: &str) -> Result<f64, ScenarioError> {
         let answer = exchange(self.addr, "GET", "/admin/counters", b"").await;
-        let answer = answer.map_err(ScenarioError::call("counters of the store"))?;
+        let answer = answer.map_err(ScenarioError::call("reading the counters of the store"))?;
         let all: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
         if field == "total" {
             let calls = all["calls"].as_object();
@@ -68,7 +69,7 @@
     }
 }
 
-/// A number or truth value where the text is one, else a text.
+/// Parses `text` as JSON, such as a number or boolean; any other text becomes a string.
 pub fn json_value(text: &str) -> serde_json::Value {
     serde_json::from_str(text).unwrap_or_else(|_| serde_json::Value::String(text.to_owned()))
 }
--- a/crates/galenapath-dev/src/scenario/users.rs
+++ b/crates/galenapath-dev/src/scenario/users.rs
@@ -1,5 +1,5 @@
-//! The users' platform in a scenario: its store, its backend servers, and what callers of gateways were
-//! told.
+//! The users' platform in a scenario: its store, its backend servers, and the answers that callers
+//! of gateways received.
 
 use super::error::ScenarioError;
 use super::line::Line;
@@ -13,33 +13,33 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Host of all routes.
+/// Host name of all routes.
 const HOST: &str = "h.example";
-/// Failure domain of servers where the line names none.
-const DOMAIN: &str = "d1";
-/// Time that a server's work takes where the line says nothing.
-const WORK: Duration = Duration::from_millis(20);
-/// Requests a second that a cold server can take.
-const COLD_PER_SECOND: f64 = 6.0;
-/// Seconds for which a server is taken to be cold that has not said.
+/// Failure domain of a server without `domain=`.
+const DEFAULT_DOMAIN: &str = "d1";
+/// Time that a request takes at a server without `work=`.
+const DEFAULT_WORK: Duration = Duration::from_millis(20);
+/// Requests per second that a cold server can handle.
+const COLD_RATE_PER_S: f64 = 6.0;
+/// Warm-up time, in seconds, of a server that has not stated its own.
 const WARM_UP_S: u64 = 3;
-/// Time that callers say they wait, in milliseconds.
-const CALLER_WAITS_MS: &str = "3000";
-/// Longest wait for an answer.
+/// Caller timeout sent with each request, in milliseconds.
+const CALLER_TIMEOUT_MS: &str = "3000";
+/// Limit for an answer to arrive.
 const ANSWER_LIMIT: Duration = Duration::from_secs(10);
 /// Largest body of an answer, in bytes.
 const BODY_LIMIT: usize = 1 << 20;
 
-/// A backend server and its service.
-struct Listed {
+/// A backend server that is registered in the store.
+struct ListedServer {
     service: String,
     /// Failure domain.
     domain: String,
     server: ServerStandIn,
 }
 
-/// What a caller was told.
-struct Told {
+/// A request and the status of its answer.
+struct AnsweredRequest {
     id: String,
     is_filing: bool,
     status: StatusCode,
@@ -49,33 +49,36 @@
 #[derive(Default)]
 pub struct Users {
     store: KvStandIn,
-    servers: BTreeMap<String, Listed>,
-    told: Vec<Told>,
+    servers: BTreeMap<String, ListedServer>,
+    answered: Vec<AnsweredRequest>,
 }
 
 impl Users {
-    /// A new address of the store.
+    /// Listens on a new address of the store and returns it.
     pub fn store_addr(&self) -> Result<SocketAddr, ScenarioError> {
         self.store.listen().map_err(ScenarioError::io("the users' store"))
     }
 
-    /// `server NAME service=S [work=T] [bytes=N] [domain=D]`: starts a server that lists itself.
+    /// `server NAME service=S [work=T] [bytes=N] [domain=D]`: starts a server and registers it in
+    /// the store.
     pub fn start_server(&mut self, line: &Line) -> Result<(), ScenarioError> {
         let name = line.word(1);
-        let work = line.option("work").map_or(Ok(WORK), duration)?;
+        let work = line.option("work").map_or(Ok(DEFAULT_WORK), duration)?;
         let server = ServerStandIn::start(&format!("i-{name}"), work);
         let server = server.map_err(ScenarioError::io("a server"))?;
         if let Some(bytes) = line.option("bytes") {
-            server.set_body(bytes.parse().map_err(|_| ScenarioError::bad("no number"))?);
+            server.set_body(
+                bytes.parse().map_err(|_| ScenarioError::bad("bytes must be a whole number"))?,
+            );
         }
         let service = line.option("service").unwrap_or(name).to_owned();
-        let domain = line.option("domain").unwrap_or(DOMAIN).to_owned();
-        self.servers.insert(name.to_owned(), Listed { service, domain, server });
-        self.mark(name, "ready")
+        let domain = line.option("domain").unwrap_or(DEFAULT_DOMAIN).to_owned();
+        self.servers.insert(name.to_owned(), ListedServer { service, domain, server });
+        self.set_entry_state(name, "ready")
     }
 
-    /// `mark NAME ready|draining|gone`: what the server's entry says, or that it has none.
-    pub fn mark(&self, name: &str, state: &str) -> Result<(), ScenarioError> {
+    /// `mark NAME ready|draining|gone`: sets the state in the server's entry, or deletes the entry.
+    pub fn set_entry_state(&self, name: &str, state: &str) -> Result<(), ScenarioError> {
         let listed = self.listed(name)?;
         let (key, mut entry) = listed.server.entry(&listed.service, state);
         entry["zone"] = json!(listed.domain);
@@ -86,50 +89,54 @@
         Ok(())
     }
 
-    /// `cool NAME for=T`: turns a server cold, without a word in its entry.
-    pub fn cool(&self, line: &Line) -> Result<(), ScenarioError> {
-        let left = line.option("for").ok_or_else(|| ScenarioError::bad("no for="))?;
-        self.listed(line.word(1))?.server.turn_cold(duration(left)?, COLD_PER_SECOND);
+    /// `cool NAME for=T`: makes a server cold without changing its entry.
+    pub fn set_cold(&self, line: &Line) -> Result<(), ScenarioError> {
+        let left =
+            line.option("for").ok_or_else(|| ScenarioError::bad("option for= is missing"))?;
+        self.listed(line.word(1))?.server.turn_cold(duration(left)?, COLD_RATE_PER_S);
         Ok(())
     }
 
-    /// `says NAME [limit=N] [leaving=yes] [pause=T]`: what the server asks for in its answers from now on, and no
-    /// more than that.
-    pub fn say(&self, line: &Line) -> Result<(), ScenarioError> {
+    /// `says NAME [limit=N] [leaving=yes] [pause=T]`: replaces the rate limit, leaving state and
+    /// pause that the server states in its answers; options left out are no longer stated.
+    pub fn set_stated_limits(&self, line: &Line) -> Result<(), ScenarioError> {
         let server = &self.listed(line.word(1))?.server;
         let limit = line.option("limit").map(str::parse).transpose();
-        server.set_limit(limit.map_err(|_| ScenarioError::bad("no number"))?);
+        server.set_limit(limit.map_err(|_| ScenarioError::bad("limit must be a number"))?);
         server.set_leaving(line.option("leaving").is_some());
         server.set_pause(line.option("pause").map(duration).transpose()?);
         Ok(())
     }
 
-    /// `evacuate DOMAIN`: nothing more is to be sent to the servers of a failure domain.
+    /// `evacuate DOMAIN`: evacuates a failure domain, so that its servers get no new requests.
     pub fn evacuate(&self, domain: &str) {
         self.store.put(&format!("op/evacuate/{domain}"), &json!({}));
     }
 
-    /// `restore DOMAIN`: the servers of a failure domain may get requests again.
+    /// `restore DOMAIN`: ends the evacuation of a failure domain.
     pub fn restore(&self, domain: &str) {
         self.store.delete(&format!("op/evacuate/{domain}"));
     }
 
-    /// `trouble NAME shed|hang|errors|none`: what the server does wrong.
-    pub fn trouble(&self, name: &str, what: &str) -> Result<(), ScenarioError> {
-        let trouble = match what {
+    /// `trouble NAME shed|hang|errors|none`: sets the server's fault.
+    pub fn set_fault(&self, name: &str, what: &str) -> Result<(), ScenarioError> {
+        let fault = match what {
             "shed" => ServerTrouble::Shed,
             "hang" => ServerTrouble::Hang,
             "errors" => ServerTrouble::Errors,
             "none" => ServerTrouble::None,
-            other => return Err(ScenarioError::bad(format!("no trouble `{other}`"))),
+            other => return Err(ScenarioError::bad(format!("unknown fault `{other}`"))),
         };
-        self.listed(name)?.server.set_trouble(trouble);
+        self.listed(name)?.server.set_trouble(fault);
         Ok(())
     }
 
-    /// `routes VERSION NAME=KIND…`: a configuration with a route for each service of that name.
-    pub fn configure(&self, line: &Line) -> Result<(), ScenarioError> {
-        let version: u64 = line.word(1).parse().map_err(|_| ScenarioError::bad("no version"))?;
+    /// `routes VERSION NAME=KIND…`: stores a configuration with one service and one route per name.
+    pub fn set_routes(&self, line: &Line) -> Result<(), ScenarioError> {
+        let version: u64 = line
+            .word(1)
+            .parse()
+            .map_err(|_| ScenarioError::bad("the version must be a whole number"))?;
         let mut resources = vec![json!({
             "resource_type": "limits", "metadata": {},
             "spec": { "max_header_bytes": 16384, "max_body_bytes": 100_000,
@@ -150,7 +157,7 @@
             resources.push(json!({
                 "resource_type": "services", "metadata": { "name": name },
                 "spec": { "health_path": "/health", "max_conns": 240, "protocol": "h1", "tls": false,
-                          "warmup_s": WARM_UP_S, "warmup_per_s": COLD_PER_SECOND },
+                          "warmup_s": WARM_UP_S, "warmup_per_s": COLD_RATE_PER_S },
             }));
         }
         let config = json!({ "version": format!("{version:08x}"), "resources": resources });
@@ -158,15 +165,21 @@
         Ok(())
     }
 
-    /// `ask ID GATEWAY METHOD PATH [status=N]`: sends a request to a gateway at `addr` and waits for its
-    /// answer.
-    pub async fn ask(&mut self, line: &Line, addr: SocketAddr) -> Result<(), ScenarioError> {
+    /// `ask ID GATEWAY METHOD PATH [status=N]`: sends a request to the gateway at `addr` and fails
+    /// if the answer has another status.
+    pub async fn send_request(
+        &mut self,
+        line: &Line,
+        addr: SocketAddr,
+    ) -> Result<(), ScenarioError> {
         let id = line.word(1).to_owned();
-        let asking = exchange(addr, &id, line.word(3), line.word(4));
-        let status = monoio::time::timeout(ANSWER_LIMIT, asking).await;
-        let status = status.map_err(|_| ScenarioError::bad(format!("{id} is not answered")))??;
+        let answer = exchange(addr, &id, line.word(3), line.word(4));
+        let status = monoio::time::timeout(ANSWER_LIMIT, answer).await;
+        let status = status.map_err(|_| {
+            ScenarioError::bad(format!("request {id} was not answered within {ANSWER_LIMIT:?}"))
+        })??;
         let is_filing = line.word(3) == "POST";
-        self.told.push(Told { id, is_filing, status });
+        self.answered.push(AnsweredRequest { id, is_filing, status });
         let expected = line.option("status").unwrap_or("200");
         if status.as_str() == expected {
             return Ok(());
@@ -175,34 +188,44 @@
         Err(ScenarioError::Unexpected { expected, got })
     }
 
-    /// `press GATEWAYS PATH for=T`: sends lookups to the gateways in turn, one after the other, for a while; some
-    /// have to be answered.
-    pub async fn press(&mut self, line: &Line, to: &[SocketAddr]) -> Result<(), ScenarioError> {
-        let span = duration(line.option("for").ok_or_else(|| ScenarioError::bad("no for="))?)?;
-        let end = Instant::now() + span;
+    /// `press GATEWAYS PATH for=T`: sends lookups to the gateways in turn, one at a time, for the
+    /// time T; fails if none succeeds.
+    pub async fn send_lookups(
+        &mut self,
+        line: &Line,
+        to: &[SocketAddr],
+    ) -> Result<(), ScenarioError> {
+        let length = duration(
+            line.option("for").ok_or_else(|| ScenarioError::bad("option for= is missing"))?,
+        )?;
+        let end = Instant::now() + length;
         let (mut sent, mut answered) = (0, 0);
         for addr in to.iter().cycle() {
             if Instant::now() >= end {
                 break;
             }
             let id = format!("{}-{sent}", line.word(2));
-            let asking = exchange(*addr, &id, "GET", line.word(2));
-            let status = monoio::time::timeout(ANSWER_LIMIT, asking).await;
-            let status =
-                status.map_err(|_| ScenarioError::bad(format!("{id} is not answered")))??;
+            let answer = exchange(*addr, &id, "GET", line.word(2));
+            let status = monoio::time::timeout(ANSWER_LIMIT, answer).await;
+            let status = status.map_err(|_| {
+                ScenarioError::bad(format!("request {id} was not answered within {ANSWER_LIMIT:?}"))
+            })??;
             sent += 1;
             answered += usize::from(status == StatusCode::OK);
         }
         if answered > 0 {
             return Ok(());
         }
-        let expected = "some answers".to_owned();
+        let expected = "at least one successful answer".to_owned();
         Err(ScenarioError::Unexpected { expected, got: format!("none to {sent} requests") })
     }
 
-    /// `runs`: requests that a server ran; `crashes`: how often it crashed because it was cold and got too many;
-    /// `overruns`: requests beyond the limit that it named; `paused_arrivals`: requests and questions while it
-    /// wanted nothing.
+    /// Returns a counter of a server:
+    ///
+    /// - `runs`: requests that it ran
+    /// - `crashes`: crashes because it got too many requests while cold
+    /// - `overruns`: requests beyond its stated rate limit
+    /// - `paused_arrivals`: requests and load queries that arrived while it was paused
     pub fn counter(&self, name: &str, field: &str) -> Option<f64> {
         let server = &self.servers.get(name)?.server;
         match field {
@@ -214,7 +237,7 @@
         }
     }
 
-    /// Fails where a filing ran twice, or a caller was told "not run" of something that ran.
+    /// Fails if a filing ran more than once, or ran although its answer says that it did not.
     pub fn check(&self) -> Result<(), ScenarioError> {
         let mut runs: FastMap<String, usize> = FastMap::default();
         for listed in self.servers.values() {
@@ -222,16 +245,16 @@
                 *runs.entry(seen.id).or_default() += 1;
             }
         }
-        for told in &self.told {
-            let ran = runs.get(&told.id).copied().unwrap_or(0);
-            let is_denied = matches!(told.status.as_u16(), 408 | 421 | 429 | 503);
-            let most = match (told.is_filing, is_denied) {
+        for req in &self.answered {
+            let ran = runs.get(&req.id).copied().unwrap_or(0);
+            let is_rejected = matches!(req.status.as_u16(), 408 | 421 | 429 | 503);
+            let max_runs = match (req.is_filing, is_rejected) {
                 (true, true) => 0,
                 (true, false) => 1,
                 (false, _) => usize::MAX,
             };
-            if ran > most {
-                let expected = format!("{} runs {most} times at most", told.id);
+            if ran > max_runs {
+                let expected = format!("{} runs at most {max_runs} times", req.id);
                 let got = format!("it ran {ran} times");
                 return Err(ScenarioError::Unexpected { expected, got });
             }
@@ -239,9 +262,9 @@
         Ok(())
     }
 
-    fn listed(&self, name: &str) -> Result<&Listed, ScenarioError> {
+    fn listed(&self, name: &str) -> Result<&ListedServer, ScenarioError> {
         let listed = self.servers.get(name);
-        listed.ok_or_else(|| ScenarioError::bad(format!("no server {name}")))
+        listed.ok_or_else(|| ScenarioError::bad(format!("no server is named {name}")))
     }
 }
 
@@ -258,7 +281,7 @@
     let headers = [
         ("Host", HOST),
         ("X-Attempt-Id", id),
-        ("X-Request-Deadline-Ms", CALLER_WAITS_MS),
+        ("X-Request-Deadline-Ms", CALLER_TIMEOUT_MS),
         ("Content-Length", length.as_str()),
     ];
     let head = request_head(method, path, &headers);
