--- a/crates/galenapath-dev/examples/backend.rs
+++ b/crates/galenapath-dev/examples/backend.rs
@@ -1,4 +1,4 @@
-//! Stand-in of backend servers; see `galenapath_dev::backend`.
+//! Stand-in for backend servers; see `galenapath_dev::backend`.
 //!
 //! `cargo run -p galenapath-dev --example backend -- --server name=b1,service=lookup,domain=d1`
 
--- a/crates/galenapath-dev/examples/load.rs
+++ b/crates/galenapath-dev/examples/load.rs
@@ -22,7 +22,7 @@
     match runtime.block_on(repeated_keys(&opts.admins)) {
         Ok(0) => {}
         Ok(n) => found.push(format!("{n} filings ran more than once")),
-        Err(e) => found.push(format!("counters of a backend stand-in: {e}")),
+        Err(e) => found.push(format!("reading the counters of a backend stand-in: {e}")),
     }
     found.iter().for_each(|line| eprintln!("{line}"));
     Ok(if found.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
--- a/crates/galenapath-dev/examples/overhead.rs
+++ b/crates/galenapath-dev/examples/overhead.rs
@@ -1,8 +1,10 @@
-//! Compares ways to the same backend servers: time for a lookup and processor time.
+//! Compares the latency of lookups and the processor time of several ways to the same backend
+//! servers.
 //!
-//! Every round runs each way twice, one after the other, so that other load on the machine meets
-//! all of them: a closed loop for the processor time of a request, then half of what the slowest
-//! way reached in the first closed loop, with times from the moment a request was due.
+//! Every round runs all ways in turn, so that other load on the machine affects all of them. It has
+//! two halves: first a closed loop, for the processor time per request; then a fixed rate, half of
+//! what the slowest way reached in the first closed loop, with latencies from the time at which
+//! each request was due.
 //!
 //! `cargo run --release -p galenapath-dev --example overhead -- --host s --way direct=ADDR \
 //! --way instance=ADDR,PID`
@@ -15,10 +17,10 @@
 use std::str::FromStr;
 use std::time::{Duration, Instant};
 
-/// Longest wait for an answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Limit for an answer to arrive.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Ticks of processor time a second, as Linux counts them for processes.
+/// Clock ticks per second in `/proc/PID/stat` on Linux.
 const TICKS_PER_S: f64 = 100.0;
 
 type Result<T> = std::result::Result<T, Box<dyn Error + Send + Sync>>;
@@ -26,8 +28,8 @@
 /// Compares ways to the same backend servers.
 #[derive(Parser)]
 struct Options {
-    /// A way, `NAME=ADDR[,PID]`; with a PID its processor time is told. The first is what others
-    /// are compared with.
+    /// A way, `NAME=ADDR[,PID]`; with a PID, its processor time is reported. The first way is the
+    /// baseline of the comparison.
     #[arg(long = "way", required = true)]
     ways: Vec<Way>,
     /// Service, sent as `Host`.
@@ -36,10 +38,10 @@
     /// Connections, with one request at a time on each.
     #[arg(long, default_value_t = 24)]
     connections: u32,
-    /// Time for each half of a way's turn.
+    /// Duration of each half of a round, per way.
     #[arg(long, default_value = "2s", value_parser = humantime::parse_duration)]
     duration: Duration,
-    /// Rounds.
+    /// Number of rounds.
     #[arg(long, default_value_t = 3)]
     rounds: u32,
 }
@@ -65,7 +67,7 @@
     }
 }
 
-/// What was measured of one way.
+/// Totals and latencies of one way.
 struct Figures {
     requests: u64,
     seconds: f64,
@@ -124,16 +126,18 @@
     }
 }
 
-/// Times of all answered requests in nanoseconds, at `rate` or as fast as answers come.
+/// Sends requests at `rate`, or in a closed loop without one. Returns the latencies of the answered
+/// requests in nanoseconds.
 fn run(opts: &Options, way: &Way, rate: Option<f64>) -> Result<Histogram<u64>> {
     let mut all = Histogram::new(3)?;
-    let gap = rate.map(|rate| Duration::from_secs_f64(f64::from(opts.connections) / rate));
+    let interval = rate.map(|rate| Duration::from_secs_f64(f64::from(opts.connections) / rate));
     let start = Instant::now() + Duration::from_millis(20);
     std::thread::scope(|scope| {
         let threads: Vec<_> = (0..opts.connections)
             .map(|n| {
-                let first = gap.map_or(start, |gap| start + gap * n / opts.connections);
-                scope.spawn(move || connection(opts, way, first, gap))
+                let first =
+                    interval.map_or(start, |interval| start + interval * n / opts.connections);
+                scope.spawn(move || connection(opts, way, first, interval))
             })
             .collect();
         for thread in threads {
@@ -148,11 +152,11 @@
     opts: &Options,
     way: &Way,
     first: Instant,
-    gap: Option<Duration>,
+    interval: Option<Duration>,
 ) -> Result<Histogram<u64>> {
     let mut io = TcpStream::connect(way.address)?;
     io.set_nodelay(true)?;
-    io.set_read_timeout(Some(PATIENCE))?;
+    io.set_read_timeout(Some(ANSWER_TIMEOUT))?;
     let req = format!("GET /sessions HTTP/1.1\r\nHost: {}\r\n\r\n", opts.host);
     let mut times = Histogram::new(3)?;
     let mut due = first;
@@ -162,22 +166,22 @@
         io.write_all(req.as_bytes())?;
         read_answer(&mut io)?;
         times.record(due.elapsed().as_nanos() as u64)?;
-        due = gap.map_or_else(Instant::now, |gap| due + gap);
+        due = interval.map_or_else(Instant::now, |interval| due + interval);
     }
     Ok(times)
 }
 
-/// Reads one answer with a length; fails on any status but 200.
+/// Reads one answer with a `Content-Length`; fails if the status is not 200.
 fn read_answer(io: &mut TcpStream) -> Result<()> {
     let mut buf = [0; 8 * 1024];
-    let mut have = 0;
+    let mut received = 0;
     loop {
-        let n = io.read(&mut buf[have..])?;
+        let n = io.read(&mut buf[received..])?;
         if n == 0 {
             return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
         }
-        have += n;
-        let text = String::from_utf8_lossy(&buf[..have]);
+        received += n;
+        let text = String::from_utf8_lossy(&buf[..received]);
         let Some((head, body)) = text.split_once("\r\n\r\n") else { continue };
         if !head.starts_with("HTTP/1.1 200") {
             return Err(text.into_owned().into());
@@ -186,18 +190,18 @@
             let (name, value) = line.split_once(": ")?;
             name.eq_ignore_ascii_case("content-length").then(|| value.parse::<usize>().ok())?
         });
-        if body.len() >= length.ok_or("an answer without a length")? {
+        if body.len() >= length.ok_or("answer without a content-length")? {
             return Ok(());
         }
     }
 }
 
-/// Processor time that a process has used so far.
+/// Returns the processor time that a process has used so far, in seconds.
 fn cpu_seconds(pid: Option<u32>) -> Result<f64> {
     let Some(pid) = pid else { return Ok(0.0) };
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    let after = stat.rsplit_once(')').ok_or("stat without a name")?.1;
+    let after = stat.rsplit_once(')').ok_or("/proc/PID/stat has no process name")?.1;
     let field = |n: usize| after.split_whitespace().nth(n).and_then(|f| f.parse::<f64>().ok());
     let ticks = field(11).zip(field(12)).map(|(user, system)| user + system);
-    Ok(ticks.ok_or("stat without times")? / TICKS_PER_S)
+    Ok(ticks.ok_or("/proc/PID/stat has no processor times")? / TICKS_PER_S)
 }
--- a/crates/galenapath-dev/examples/relay.rs
+++ b/crates/galenapath-dev/examples/relay.rs
@@ -1,7 +1,7 @@
-//! The least that monoio-http can do as a relay, to measure an entry instance against.
+//! Minimal HTTP relay built on monoio-http, as a baseline for the overhead of an entry instance.
 //!
-//! It takes requests without a body and answers with a length, and decides nothing: connections to
-//! the backend servers are used in turn.
+//! It supports requests without a body and answers with a length, and makes no load balancing
+//! decisions: connections to the backend servers are used in turn.
 //!
 //! `cargo run --release -p galenapath-dev --example relay -- --to 127.0.0.1:9001`
 
@@ -24,7 +24,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A bare relay.
+/// Minimal HTTP relay.
 #[derive(Parser)]
 struct Options {
     /// A backend server; repeat for more.
@@ -32,7 +32,7 @@
     to: Vec<SocketAddr>,
 }
 
-/// Connections to the backend servers that no request uses.
+/// Idle connections to the backend servers.
 struct Pool {
     servers: RefCell<VecDeque<SocketAddr>>,
     idle: RefCell<VecDeque<ClientCodec<TcpStream>>>,
--- a/crates/galenapath-dev/examples/slopes/deployment.rs
+++ b/crates/galenapath-dev/examples/slopes/deployment.rs
@@ -1,4 +1,4 @@
-//! A store, entry instances and listed backend servers on loopback.
+//! A store, entry instances and registered backend servers on loopback.
 
 use galenapath_dev::wire::exchange;
 use monoio::time::sleep;
@@ -9,28 +9,28 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant, SystemTime};
 
-/// Port of every instance for peers.
+/// Peer port of every instance.
 pub const PEERS_PORT: u16 = 7001;
-/// Longest wait for the instances to know each other.
+/// Limit for all instances to discover each other.
 const START_LIMIT: Duration = Duration::from_secs(40);
 
-/// Ends a process when it is dropped.
+/// Kills a process on drop.
 pub struct Guard(pub Child);
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        // Both fail only on a process that has ended already.
+        // Both fail only if the process has already exited.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// The running programs.
+/// Running programs and their files.
 pub struct Deployment {
     programs: PathBuf,
-    /// Directory of settings and logs.
+    /// Directory for settings and logs.
     pub dir: PathBuf,
-    /// First bytes of the instances' addresses.
+    /// Network prefix of the instances' addresses.
     pub net: String,
     /// Address of the store.
     pub store: SocketAddr,
@@ -40,7 +40,7 @@
 }
 
 impl Deployment {
-    /// Starts a store, lists `backends` servers in services of about six, and starts instances.
+    /// Starts a store, registers `backends` servers, six per service, and starts the instances.
     pub async fn start(
         programs: &Path,
         instances: usize,
@@ -69,7 +69,7 @@
         Ok(deployment)
     }
 
-    /// Puts a backend server on the platform's list.
+    /// Registers a backend server with the platform, or updates its state there.
     pub async fn list_backend(&self, n: usize, state: &str) -> Result<(), Box<dyn Error>> {
         let body = serde_json::json!({
             "ID": format!("backend-{n}"),
@@ -88,7 +88,7 @@
         Ok(())
     }
 
-    /// Address of an instance, without port.
+    /// Returns the IP address of an instance.
     pub fn address(&self, n: usize) -> String {
         format!("{}.{}", self.net, n + 1)
     }
@@ -111,13 +111,13 @@
         Ok(())
     }
 
-    /// Waits until every instance knows as many members as there are.
-    pub async fn wait_whole(&self) -> Result<Duration, Box<dyn Error>> {
+    /// Waits until every instance knows all members; returns the time that this took.
+    pub async fn wait_converged(&self) -> Result<Duration, Box<dyn Error>> {
         let began = Instant::now();
         for n in 0..self.entries.len() {
             while self.metric(n, "galenapath_members").await? < self.entries.len() as f64 {
                 if began.elapsed() > START_LIMIT {
-                    return Err("the instances do not find each other".into());
+                    return Err("the instances did not discover each other in time".into());
                 }
                 sleep(Duration::from_millis(200)).await;
             }
@@ -125,7 +125,7 @@
         Ok(began.elapsed())
     }
 
-    /// Sum over the lines of a metric of one instance.
+    /// Returns the sum over the lines of a metric of one instance, or 0 if it does not answer.
     pub async fn metric(&self, n: usize, name: &str) -> Result<f64, Box<dyn Error>> {
         let operators: SocketAddr = format!("{}:7002", self.address(n)).parse()?;
         let Ok(answer) = exchange(operators, "GET", "/metrics", b"").await else { return Ok(0.0) };
@@ -134,7 +134,7 @@
         Ok(lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum())
     }
 
-    /// Calls that the store has counted.
+    /// Returns the number of calls to the store.
     pub async fn store_calls(&self) -> Result<f64, Box<dyn Error>> {
         let answer = exchange(self.store, "GET", "/admin/counters", b"").await?;
         let all: serde_json::Value = serde_json::from_slice(&answer.body)?;
@@ -142,13 +142,14 @@
         Ok(calls.into_iter().flatten().filter_map(|(_, n)| n.as_f64()).sum())
     }
 
-    /// Bytes of the platform's list of backend servers.
+    /// Returns the length of the platform's list of backend servers in bytes.
     pub async fn list_bytes(&self) -> Result<f64, Box<dyn Error>> {
         let answer = exchange(self.store, "GET", "/v1/health/service/backend", b"").await?;
         Ok(answer.body.len() as f64)
     }
 
-    /// Creates a class through the first instance; times until each had it in force, in ms.
+    /// Creates a class through the first instance. Returns the time until it was in force, in ms,
+    /// for each instance.
     pub async fn change(&self, number: usize) -> Result<Vec<f64>, Box<dyn Error>> {
         let began = SystemTime::now();
         let name = format!("class-{number}");
@@ -165,12 +166,12 @@
         let version = format!("version={number}");
         let mut times = Vec::new();
         for n in 0..self.entries.len() {
-            times.push(self.in_force(n, &version, began).await?);
+            times.push(self.wait_in_force(n, &version, began).await?);
         }
         Ok(times)
     }
 
-    async fn in_force(
+    async fn wait_in_force(
         &self,
         n: usize,
         version: &str,
@@ -189,19 +190,19 @@
             sleep(Duration::from_millis(20)).await;
         }
         let log = std::fs::read_to_string(self.dir.join(format!("entry-{n}.err")))?;
-        Err(format!("{version} is not in force at entry-{n} after 20 s; its log:\n{log}").into())
+        Err(format!("{version} is not in force at entry-{n} after 20 s; log:\n{log}").into())
     }
 }
 
 impl Drop for Deployment {
     fn drop(&mut self) {
         self.entries.clear();
-        // What stays behind is a few small files in the directory for temporary ones.
+        // If this fails, only a few small files remain in the directory for temporary files.
         let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
-/// Starts a program; its output goes to files.
+/// Starts a program; its output goes to files that end in `.out` and `.err`.
 pub fn spawn(command: &mut Command, output: &Path) -> Result<Guard, Box<dyn Error>> {
     let out = File::create(output.with_extension("out"))?;
     let err = File::create(output.with_extension("err"))?;
@@ -216,5 +217,5 @@
         }
         sleep(Duration::from_millis(10)).await;
     }
-    Err("the store does not start".into())
+    Err("the store did not start in time".into())
 }
--- a/crates/galenapath-dev/examples/slopes/in_process.rs
+++ b/crates/galenapath-dev/examples/slopes/in_process.rs
@@ -1,4 +1,5 @@
-//! Cost of the shipped state machines at sizes that do not fit one machine as processes.
+//! Cost of configuration and membership at sizes that are too large to run as processes on one
+//! machine.
 
 use crate::table::Row;
 use galenapath_config::{
@@ -12,10 +13,10 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Messages timed per size.
+/// Number of timed rounds per size; each has a probe and an update.
 const ROUNDS: u64 = 10_000;
 
-/// The configuration by the number of classes.
+/// Measures the encoding of a configuration by the number of classes.
 pub fn by_classes(sizes: &[usize]) -> Result<Vec<Row>, Box<dyn Error>> {
     sizes.iter().map(|&size| measure_classes(size)).collect()
 }
@@ -59,7 +60,7 @@
     }
 }
 
-/// The table of entry instances by their number.
+/// Measures the membership table by the number of members.
 pub fn by_members(sizes: &[usize]) -> Vec<Row> {
     sizes.iter().map(|&size| measure_members(size)).collect()
 }
@@ -76,9 +77,9 @@
             members.probe_answered(now, probe.incarnation);
             black_box(members.updates_for(probe.incarnation));
         }
-        let mut news = list[1 + usize::try_from(n).unwrap_or(0) % (size - 1)].clone();
-        news.status_version = n;
-        members.merge(now, &[news]);
+        let mut update = list[1 + usize::try_from(n).unwrap_or(0) % (size - 1)].clone();
+        update.status_version = n;
+        members.merge(now, &[update]);
     }
     let per_round = began.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64;
     Row { size, columns: vec![("us_per_probe_and_news", per_round)] }
--- a/crates/galenapath-dev/examples/slopes/main.rs
+++ b/crates/galenapath-dev/examples/slopes/main.rs
@@ -1,6 +1,7 @@
-//! Slopes of an instance's cost by the number of instances and backend servers.
+//! Measures how the cost of an instance grows with the number of instances, backend servers,
+//! requests, classes and members.
 //!
-//! Starts the shipped programs on loopback, measures, and writes tables (TSV) and plots (SVG):
+//! Starts the release programs on loopback and writes tables (TSV) and plots (SVG):
 //! `cargo run --release -p galenapath-dev --example slopes -- --out docs/plots`
 
 mod deployment;
@@ -17,7 +18,7 @@
 use std::error::Error;
 use std::path::PathBuf;
 
-/// Measures slopes.
+/// Measures how the cost of an instance grows with the size of the deployment.
 #[derive(Parser)]
 struct Options {
     /// Directory with the release build of the programs.
@@ -32,19 +33,19 @@
     /// Numbers of backend servers, with 4 instances.
     #[arg(long, value_delimiter = ',', default_value = "36,2000,4000,8000")]
     backends: Vec<usize>,
-    /// Rates of requests a second over three instances.
+    /// Requests per second, spread over three instances.
     #[arg(long, value_delimiter = ',', default_value = "500,1000,2000")]
     rates: Vec<usize>,
-    /// Numbers of classes, in the process.
+    /// Numbers of classes, measured in this process.
     #[arg(long, value_delimiter = ',', default_value = "175,700,1400,4200")]
     classes: Vec<usize>,
-    /// Numbers of members, in the process.
+    /// Numbers of members, measured in this process.
     #[arg(long, value_delimiter = ',', default_value = "16,64,200,400")]
     members: Vec<usize>,
-    /// Leave out what starts processes.
+    /// Skip measurements that start processes.
     #[arg(long)]
     in_process: bool,
-    /// Leave out all but the cost of requests.
+    /// Measure only the cost of requests.
     #[arg(long)]
     requests: bool,
 }
--- a/crates/galenapath-dev/examples/slopes/requests.rs
+++ b/crates/galenapath-dev/examples/slopes/requests.rs
@@ -1,4 +1,4 @@
-//! Processor time of the data threads by the rate of requests.
+//! Processor time of the data threads by request rate.
 
 use crate::deployment::{Deployment, Guard, spawn};
 use crate::proc_files::data_cpu;
@@ -9,17 +9,17 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// Instances; one per failure domain.
+/// Number of instances, one per failure domain.
 const INSTANCES: usize = 3;
-/// Backend servers, of one process.
+/// Number of backend servers, all in one process.
 const SERVERS: usize = 12;
-/// Length of the load.
-const SPAN_S: u64 = 6;
+/// Duration of the load, in seconds.
+const LOAD_S: u64 = 6;
 
-/// Cost of requests by their rate per second over three instances.
+/// Measures the cost of requests at each rate per second, spread over three instances.
 pub async fn by_rate(programs: &Path, rates: &[usize]) -> Result<Vec<Row>, Box<dyn Error>> {
     let deployment = Deployment::start(programs, INSTANCES, 0).await?;
-    deployment.wait_whole().await?;
+    deployment.wait_converged().await?;
     let _servers = start_servers(programs, &deployment)?;
     deployment.change(1).await?;
     sleep(Duration::from_secs(2)).await;
@@ -48,7 +48,7 @@
         command.arg("--entry").arg(format!("{}:7000", deployment.address(n)));
     }
     let class = format!("name=lookup,service=service-1,rate={rate},target_ms=50");
-    command.args(["--json", "--duration", &format!("{SPAN_S}s"), "--class", &class]);
+    command.args(["--json", "--duration", &format!("{LOAD_S}s"), "--class", &class]);
     let before = cpu();
     let output = command.output()?;
     let used = cpu() - before;
@@ -59,7 +59,7 @@
         ("answered", answered),
         ("sent", figure("sent")),
         ("data_cpu_us_per_request", used * 1e6 / answered),
-        ("data_cpu_s_per_s", used / SPAN_S as f64),
+        ("data_cpu_s_per_s", used / LOAD_S as f64),
         ("p50_ms", figure("p50_ms")),
         ("p99_ms", figure("p99_ms")),
     ];
--- a/crates/galenapath-dev/examples/slopes/sizes.rs
+++ b/crates/galenapath-dev/examples/slopes/sizes.rs
@@ -1,4 +1,4 @@
-//! The measurements, one size after the other.
+//! Measurements by the number of instances and of backend servers.
 
 use crate::deployment::{Deployment, PEERS_PORT};
 use crate::proc_files::{control_cpu, rss_mib};
@@ -9,20 +9,20 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Time for the gossip of the start to die down.
-const SETTLE: Duration = Duration::from_secs(4);
-/// Length of the span that is measured; a watch of the store waits as long.
-const SPAN: Duration = Duration::from_secs(30);
-/// Changes of the configuration per size.
+/// Wait for the gossip after startup to settle.
+const GOSSIP_SETTLE: Duration = Duration::from_secs(4);
+/// Duration of the idle measurement; equal to the wait time of a blocking read of the store.
+const MEASURED_SPAN: Duration = Duration::from_secs(30);
+/// Configuration changes per size.
 const CHANGES: usize = 10;
-/// Changes of the list of backend servers per size.
+/// Changes to the list of backend servers per size.
 const LIST_CHANGES: usize = 8;
 /// Backend servers while the number of instances varies.
 const FEW_BACKENDS: usize = 36;
 /// Instances while the number of backend servers varies.
 const FEW_INSTANCES: usize = 4;
 
-/// Cost per instance by the number of instances.
+/// Measures the cost per instance by the number of instances.
 pub async fn by_instances(programs: &Path, sizes: &[usize]) -> Result<Vec<Row>, Box<dyn Error>> {
     let mut rows = Vec::new();
     for &size in sizes {
@@ -33,8 +33,8 @@
 
 async fn measure_instances(programs: &Path, size: usize) -> Result<Row, Box<dyn Error>> {
     let deployment = Deployment::start(programs, size, FEW_BACKENDS).await?;
-    let whole = deployment.wait_whole().await?;
-    sleep(SETTLE).await;
+    let converged = deployment.wait_converged().await?;
+    sleep(GOSSIP_SETTLE).await;
     let mut columns = idle(&deployment).await?;
     let mut times = Vec::new();
     for number in 1..=CHANGES {
@@ -43,12 +43,12 @@
     times.sort_by(f64::total_cmp);
     columns.push(("in_force_p50_ms", times[times.len() / 2]));
     columns.push(("in_force_max_ms", times[times.len() - 1]));
-    columns.push(("whole_after_s", whole.as_secs_f64()));
+    columns.push(("whole_after_s", converged.as_secs_f64()));
     println!("{size} instances: {columns:?}");
     Ok(Row { size, columns })
 }
 
-/// What the instances cost while nothing happens, per instance but for the store.
+/// Measures the cost of an idle deployment: per instance, except for the calls to the store.
 async fn idle(deployment: &Deployment) -> Result<Vec<(&'static str, f64)>, Box<dyn Error>> {
     let count = deployment.entries.len() as f64;
     let calls = deployment.store_calls().await?;
@@ -56,11 +56,11 @@
     let cpu = cpu(deployment);
     let began = Instant::now();
     let mut sockets = Sockets::default();
-    while began.elapsed() < SPAN {
-        sockets.look(&deployment.net, PEERS_PORT);
+    while began.elapsed() < MEASURED_SPAN {
+        sockets.sample(&deployment.net, PEERS_PORT);
         sleep(Duration::from_secs(1)).await;
     }
-    sockets.look(&deployment.net, PEERS_PORT);
+    sockets.sample(&deployment.net, PEERS_PORT);
     let span = began.elapsed().as_secs_f64();
     let cpu = (self::cpu(deployment) - cpu) / span / count * 100.0;
     let messages = deployment.metric(0, "galenapath_peer_messages_total").await? - messages;
@@ -81,7 +81,7 @@
     deployment.entries.iter().map(|entry| control_cpu(entry.0.id())).sum()
 }
 
-/// Cost per instance by the number of backend servers.
+/// Measures the cost per instance by the number of backend servers.
 pub async fn by_backends(programs: &Path, sizes: &[usize]) -> Result<Vec<Row>, Box<dyn Error>> {
     let mut rows = Vec::new();
     for &size in sizes {
@@ -92,7 +92,7 @@
 
 async fn measure_backends(programs: &Path, size: usize) -> Result<Row, Box<dyn Error>> {
     let deployment = Deployment::start(programs, FEW_INSTANCES, size).await?;
-    deployment.wait_whole().await?;
+    deployment.wait_converged().await?;
     sleep(Duration::from_secs(2)).await;
     let before = cpu(&deployment);
     sleep(Duration::from_secs(5)).await;
--- a/crates/galenapath-dev/examples/slopes/sockets.rs
+++ b/crates/galenapath-dev/examples/slopes/sockets.rs
@@ -1,20 +1,21 @@
-//! Bytes on the connections between peers, as the kernel counts them.
+//! Traffic between peers, from the kernel's socket counters.
 
 use std::collections::HashMap;
 use std::process::Command;
 
-/// Bytes sent and received per connection, seen from the side that connected.
+/// Bytes sent and received on connections, counted on the connecting side.
 #[derive(Default)]
 pub struct Sockets {
-    seen: HashMap<String, u64>,
-    /// Bytes since the first look, in both directions.
+    last_bytes: HashMap<String, u64>,
+    /// Bytes in both directions since the first sample.
     pub bytes: u64,
 }
 
 impl Sockets {
-    /// Looks at all connections to port `port` below `prefix` and adds what has passed.
-    pub fn look(&mut self, prefix: &str, port: u16) {
-        let is_first = self.seen.is_empty();
+    /// Samples all connections to `port` at addresses that start with `prefix`, and adds the bytes
+    /// since the previous sample.
+    pub fn sample(&mut self, prefix: &str, port: u16) {
+        let is_first = self.last_bytes.is_empty();
         let filter = format!("( dport = :{port} )");
         let output = Command::new("ss").args(["-tinHO", &filter]).output();
         let Ok(output) = output else { return };
@@ -25,7 +26,7 @@
                 continue;
             }
             let bytes = count(&fields, "bytes_sent:") + count(&fields, "bytes_received:");
-            let before = self.seen.insert(format!("{local} {peer}"), bytes).unwrap_or(0);
+            let before = self.last_bytes.insert(format!("{local} {peer}"), bytes).unwrap_or(0);
             if !is_first {
                 self.bytes += bytes.saturating_sub(before);
             }
--- a/crates/galenapath-dev/examples/slopes/table.rs
+++ b/crates/galenapath-dev/examples/slopes/table.rs
@@ -1,25 +1,25 @@
-//! Tables of figures.
+//! Tables of measured figures.
 
 use std::fmt::Write;
 use std::io;
 use std::path::Path;
 
-/// One size and what was measured there, by column.
+/// Figures measured at one size, by column.
 pub struct Row {
-    /// Instances or backend servers.
+    /// Number of instances, backend servers, classes or members, or request rate.
     pub size: usize,
-    /// Name with unit, and figure.
+    /// Column name (with unit) and figure.
     pub columns: Vec<(&'static str, f64)>,
 }
 
 impl Row {
-    /// The figure of a column.
+    /// Returns the figure of a column, or NaN if it is missing.
     pub fn get(&self, name: &str) -> f64 {
         self.columns.iter().find(|(n, _)| *n == name).map_or(f64::NAN, |(_, figure)| *figure)
     }
 }
 
-/// Writes rows as tab-separated values and prints them.
+/// Prints rows as tab-separated values and writes them to `path`.
 pub fn write(path: &Path, rows: &[Row]) -> io::Result<()> {
     let mut text = String::from("size");
     for (name, _) in rows.iter().take(1).flat_map(|row| &row.columns) {
@@ -37,7 +37,7 @@
     std::fs::write(path, text)
 }
 
-/// Least squares through the points: figure at size zero, and figure per unit of size.
+/// Fits a line by least squares. Returns the figure at size zero and the increase per unit of size.
 pub fn fit(points: &[(f64, f64)]) -> (f64, f64) {
     let n = points.len() as f64;
     let mean_x = points.iter().map(|p| p.0).sum::<f64>() / n;
--- a/crates/galenapath-dev/examples/store.rs
+++ b/crates/galenapath-dev/examples/store.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform's key-value service as a program.
+//! Stand-in for the platform's key-value service; see `galenapath_dev::store`.
 //!
 //! `cargo run -p galenapath-dev --example store -- --listen 127.0.0.1:8500`
 
@@ -12,7 +12,7 @@
 /// Stand-in for the platform's key-value service and list of instances.
 #[derive(Parser)]
 struct Options {
-    /// Address to listen on; port 0 takes a free one. Printed as `listening ADDR`.
+    /// Address to listen on; port 0 selects a free port. Printed as `listening ADDR`.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
     #[command(flatten)]
--- a/crates/galenapath-dev/tests/backend.rs
+++ b/crates/galenapath-dev/tests/backend.rs
@@ -1,4 +1,4 @@
-//! The backend stand-in, driven over loopback inside the test's own runtime.
+//! Tests of the backend stand-in over loopback, in the runtime of the test.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -20,24 +20,24 @@
 const SERVER: &str = "name=b1,service=lookup,domain=d1";
 const WAIT_LIMIT: Duration = Duration::from_secs(5);
 
-struct Started {
+struct TestServer {
     server: SocketAddr,
     admin: SocketAddr,
     _process: Process,
 }
 
-fn start(args: &[&str]) -> Started {
+fn start(args: &[&str]) -> TestServer {
     let opts = Options::parse_from([&["backend", "--server", SERVER], args].concat());
     let process = Process::start(opts).unwrap();
     let addresses: Vec<_> = process.addresses().map(|(_, addr)| addr).collect();
-    Started { server: addresses[0], admin: addresses[1], _process: process }
+    TestServer { server: addresses[0], admin: addresses[1], _process: process }
 }
 
 fn on_runtime<T>(test: impl Future<Output = T>) -> T {
     RuntimeBuilder::<LegacyDriver>::new().enable_timer().build().unwrap().block_on(test)
 }
 
-impl Started {
+impl TestServer {
     async fn get(&self, path: &str) -> Result<Answer, WireError> {
         exchange(self.server, "GET", path, b"").await
     }
@@ -56,7 +56,7 @@
     async fn wait_for(&self, name: &str, value: u64) {
         let began = Instant::now();
         while self.counter(name).await != value {
-            assert!(began.elapsed() < WAIT_LIMIT, "{name} never became {value}");
+            assert!(began.elapsed() < WAIT_LIMIT, "{name} did not become {value} in time");
             sleep(Duration::from_millis(2)).await;
         }
     }
@@ -95,7 +95,7 @@
         assert!(futures::poll!(cancelled.as_mut().unwrap()).is_pending());
         let mut next = Box::pin(slots.acquire());
         assert!(futures::poll!(&mut next).is_pending());
-        assert!(slots.acquire().await.is_err(), "the room is full");
+        assert!(slots.acquire().await.is_err(), "the wait queue is full");
         cancelled.take();
         drop(first);
         assert!(next.await.is_ok());
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn shedding_says_not_run() {
+fn shedding_answers_not_run() {
     on_runtime(async {
         let started = start(&["--slots", "1", "--room", "0"]);
         let mut busy = Conn::connect(started.server).await.unwrap();
@@ -163,20 +163,20 @@
         conn.write(request_head("GET", "/a?work_ms=60000", &headers)).await.unwrap();
         let head = conn.read_answer().await.unwrap();
         assert_eq!(head.status, 504);
-        assert!(!head.headers.contains_key(NOT_RUN_HEADER), "it had begun");
+        assert!(!head.headers.contains_key(NOT_RUN_HEADER), "the request had started");
     });
 }
 
 #[test]
-fn crash_on_marker_cuts_all_and_comes_back() {
+fn crash_on_marker_closes_all_and_restarts() {
     on_runtime(async {
         let started = start(&["--restart-after", "20ms"]);
         started.faults(r#"{"server":"b1","crash_on":"poison"}"#).await;
-        let mut bystander = Conn::connect(started.server).await.unwrap();
-        bystander.write(request_head("GET", "/a?work_ms=60000", &[])).await.unwrap();
+        let mut other = Conn::connect(started.server).await.unwrap();
+        other.write(request_head("GET", "/a?work_ms=60000", &[])).await.unwrap();
         started.wait_for("executions", 1).await;
         assert!(started.get("/poison").await.is_err());
-        assert!(bystander.read_answer().await.is_err());
+        assert!(other.read_answer().await.is_err());
         let began = Instant::now();
         while started.get("/after").await.is_err() {
             assert!(began.elapsed() < WAIT_LIMIT);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn lying_report_says_idle() {
+fn false_report_shows_idle() {
     on_runtime(async {
         let started = start(&[]);
         started.faults(r#"{"reports":"lie"}"#).await;
--- a/crates/galenapath-dev/tests/load.rs
+++ b/crates/galenapath-dev/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load generator against backend stand-ins in the same runtime.
+//! Tests of the load generator against backend stand-ins in the same runtime.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
--- a/crates/galenapath-dev/tests/scenario.rs
+++ b/crates/galenapath-dev/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario language and the parts of its runner that need no other process.
+//! Tests of the scenario language, and of the parts of its runner that start no other process.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -32,10 +32,10 @@
     relay
 }
 
-fn told(key: &str, attempt: Attempt) -> Told {
-    let mut told = Told::new(&RequestSpec { key: key.to_owned(), ..RequestSpec::default() });
-    told.record(attempt);
-    told
+fn caller_result(key: &str, attempt: Attempt) -> Told {
+    let mut result = Told::new(&RequestSpec { key: key.to_owned(), ..RequestSpec::default() });
+    result.record(attempt);
+    result
 }
 
 fn executions(name: &str, text: &str) -> Executions {
@@ -89,23 +89,23 @@
 #[test]
 fn check_false_not_run_refused() {
     let executions = executions("check_false_not_run_refused", "b1\tk\t/a\n");
-    assert!(check(&executions, &[told("k", Attempt::NotRun(None))]).is_err());
-    assert!(check(&executions, &[told("k", Attempt::MayHaveRun)]).is_ok());
+    assert!(check(&executions, &[caller_result("k", Attempt::NotRun(None))]).is_err());
+    assert!(check(&executions, &[caller_result("k", Attempt::MayHaveRun)]).is_ok());
 }
 
 #[test]
-fn check_false_last_word_refused() {
-    let executions = executions("check_false_last_word_refused", "b1\tk\t/a\n");
-    let mut told = told("k", Attempt::Broken);
-    told.record(Attempt::NotRun(None));
-    assert!(check(&executions, &[told]).is_err());
+fn check_false_final_not_run_refused() {
+    let executions = executions("check_false_final_not_run_refused", "b1\tk\t/a\n");
+    let mut result = caller_result("k", Attempt::Broken);
+    result.record(Attempt::NotRun(None));
+    assert!(check(&executions, &[result]).is_err());
 }
 
 #[test]
-fn check_answer_out_of_nowhere_refused() {
-    let executions = executions("check_answer_out_of_nowhere_refused", "");
-    assert!(check(&executions, &[told("k", Attempt::Answered)]).is_err());
-    assert!(check(&executions, &[told("k", Attempt::NotRun(None))]).is_ok());
+fn check_answer_without_execution_refused() {
+    let executions = executions("check_answer_without_execution_refused", "");
+    assert!(check(&executions, &[caller_result("k", Attempt::Answered)]).is_err());
+    assert!(check(&executions, &[caller_result("k", Attempt::NotRun(None))]).is_ok());
 }
 
 #[test]
