--- a/crates/galenapath-dev/src/backend/connection.rs
+++ b/crates/galenapath-dev/src/backend/connection.rs
@@ -148,7 +148,7 @@
     step: impl Future<Output = T>,
 ) -> StepResult<T> {
     let step = pin!(step);
-    let closed = pin!(conn.closed());
+    let closed = pin!(conn.wait_closed());
     let expired = pin!(sleep(job.time_left()));
     match select(step, select(closed, expired)).await {
         Either::Left((value, _)) => StepResult::Done(value),
