--- a/crates/galenapath-http/src/error.rs
+++ b/crates/galenapath-http/src/error.rs
@@ -29,6 +29,6 @@
     #[error("the head did not arrive in time")]
     HeadTimeout,
     /// The socket failed.
-    #[error("socket error: {0}")]
+    #[error("socket: {0}")]
     Io(#[from] io::Error),
 }
--- a/crates/galenapath-http/src/framing.rs
+++ b/crates/galenapath-http/src/framing.rs
@@ -91,5 +91,5 @@
     if value.as_bytes().eq_ignore_ascii_case(b"chunked") {
         return Ok(Framing::Chunked);
     }
-    Err(HttpError::BadFraming("Transfer-Encoding is not chunked"))
+    Err(HttpError::BadFraming("Transfer-Encoding other than chunked"))
 }
--- a/crates/galenapath-http/src/request.rs
+++ b/crates/galenapath-http/src/request.rs
@@ -9,13 +9,13 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BadRequest {
     /// An unsupported version of HTTP.
-    #[error("only HTTP/1.1 and HTTP/1.0 are supported")]
+    #[error("only HTTP/1.1 and HTTP/1.0 are spoken here")]
     Version,
     /// No host or more than one host.
-    #[error("exactly one Host header is required")]
+    #[error("exactly one Host header is needed")]
     Host,
     /// A target that is neither a path nor an absolute URI.
-    #[error("the request target must be a path or an absolute URI")]
+    #[error("the target must be a path or an absolute address")]
     Target,
 }
 
