--- a/crates/galenapath-config/src/head.rs
+++ b/crates/galenapath-config/src/head.rs
@@ -18,9 +18,9 @@
 
 impl TailLimits {
     /// The limits in production. Given the limits on a class's fields, a record is smaller than
-    /// 2 KB, so a head with 64 records is far smaller than the store's limit of 1 MiB. Compaction
-    /// costs two writes per 32 changes. At least 32 records stay in the tail, so that a retried
-    /// change is found without reading a page.
+    /// 2 KB, so a head with 64 records is far smaller than the store's limit of one megabyte.
+    /// Compaction costs two writes per 32 changes. At least 32 records stay in the tail, so that a
+    /// retried change is found without reading a page.
     pub const DEFAULT: Self = Self { max_records: 64, page_records: 32 };
 }
 
--- a/crates/galenapath-config/src/propose.rs
+++ b/crates/galenapath-config/src/propose.rs
@@ -8,8 +8,9 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Maximum size of a snapshot in bytes. The store's limit for a value is 1 MiB; the margin is for
-/// the revisions, which become one digit longer whenever the number of changes grows tenfold.
+/// Maximum size of a snapshot in bytes. The store's limit for a value is one megabyte; the margin
+/// is for the revisions, which become one digit longer whenever the number of changes grows
+/// tenfold.
 pub const MAX_SNAPSHOT_BYTES: usize = 1_000_000;
 
 /// A head that includes a new change, and what to write before it. The change is accepted once the
