--- a/crates/galenapath-ctl/src/causes/cause.rs
+++ b/crates/galenapath-ctl/src/causes/cause.rs
@@ -48,7 +48,7 @@
     SlowServer,
     /// Late: it occupied the last slot of a server, or waited there.
     LastSlot,
-    /// Late although it had a slot on a server at its usual pace: the request took much work, or a
+    /// Late although it had a slot on a server without slowdown: the request took much work, or a
     /// slow period of the server began after the send.
     Work,
     /// None of the other causes.
--- a/crates/galenapath-ctl/src/causes/request_end.rs
+++ b/crates/galenapath-ctl/src/causes/request_end.rs
@@ -7,8 +7,8 @@
 /// Event of the log line that ends a request.
 const REQUEST_ENDED: &str = "request ended";
 
-/// Pace from which a server counts as slow; 100 is its usual pace.
-const SLOW_PACE_PERCENT: u64 = 150;
+/// Slowdown (`pace`) from which a server counts as slow; 100 is its usual speed.
+const SLOW_PERCENT: u64 = 150;
 
 /// Fields of the log line other than the steps.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
@@ -46,7 +46,7 @@
     }
 
     pub(super) fn is_slow(self) -> bool {
-        self.pace >= SLOW_PACE_PERCENT
+        self.pace >= SLOW_PERCENT
     }
 
     /// Whether the request occupied the last slot or had to wait at the server.
--- a/crates/galenapath-ctl/src/trace/step.rs
+++ b/crates/galenapath-ctl/src/trace/step.rs
@@ -11,7 +11,7 @@
         server: String,
         /// What was done at the server or how the attempt ended.
         event: String,
-        /// For a send, the load, pace and age of the last load observation; otherwise the time
+        /// For a send, the load, slowdown and age of the last load observation; otherwise the time
         /// taken.
         detail: String,
     },
--- a/crates/galenapath-dev/src/users_platform/serve.rs
+++ b/crates/galenapath-dev/src/users_platform/serve.rs
@@ -82,7 +82,7 @@
         }
         inner.executed.push(ExecutedRequest { line, id: id.clone(), left_ms, body });
         inner.running += 1;
-        inner.work * inner.pace / 100
+        inner.work * inner.slowdown / 100
     };
     let running = Running(inner);
     if fault == ServerFault::CrashesOnPoison && head.uri.path().contains("poison") {
@@ -197,7 +197,7 @@
 
 fn load(inner: &Mutex<Inner>) -> String {
     let inner = lock(inner);
-    format!("{},0,6,{}", inner.running, inner.pace)
+    format!("{},0,6,{}", inner.running, inner.slowdown)
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
--- a/crates/galenapath-dev/src/users_platform/server.rs
+++ b/crates/galenapath-dev/src/users_platform/server.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a backend server that signs its answers and reports its load and the pace of its
-//! machine.
+//! Stand-in for a backend server that signs its answers and reports its load and the slowdown of
+//! its machine.
 
 use super::cold::Cold;
 use super::limit::Limit;
@@ -68,8 +68,8 @@
     pub(super) id: String,
     pub(super) fault: ServerFault,
     pub(super) work: Duration,
-    /// Pace of the machine in percent: 200 means that work takes twice as long.
-    pub(super) pace: u32,
+    /// Slowdown of the machine in percent: 200 means that work takes twice as long.
+    pub(super) slowdown: u32,
     pub(super) body: usize,
     /// Delay before a new connection is served.
     pub(super) accept_delay: Duration,
@@ -119,7 +119,7 @@
             id: id.to_owned(),
             fault: ServerFault::None,
             work,
-            pace: 100,
+            slowdown: 100,
             body: 20,
             accept_delay: Duration::ZERO,
             running: 0,
@@ -176,10 +176,10 @@
         self.lock().work = work;
     }
 
-    /// Sets the pace of the machine in percent of the usual work time, for requests that start
+    /// Sets the slowdown of the machine in percent of the usual work time, for requests that start
     /// later.
-    pub fn set_pace(&self, pace: u32) {
-        self.lock().pace = pace;
+    pub fn set_slowdown(&self, percent: u32) {
+        self.lock().slowdown = percent;
     }
 
     /// Makes the server cold for `duration`: it reports so in answers to load queries, and crashes
--- a/crates/galenapath-lab/src/callers.rs
+++ b/crates/galenapath-lab/src/callers.rs
@@ -14,7 +14,7 @@
     pub(crate) at: Micros,
     /// The caller's failure domain.
     pub(crate) domain: usize,
-    /// Time that it takes at the usual pace of a server.
+    /// Time that it takes at the usual speed of a server.
     pub(crate) work: Micros,
 }
 
--- a/crates/galenapath-lab/src/deployment.rs
+++ b/crates/galenapath-lab/src/deployment.rs
@@ -34,7 +34,7 @@
     pub slots: u32,
     /// Requests that wait at one server at most; it sheds any more.
     pub queue: usize,
-    /// Mean time that a request takes at the usual pace, in milliseconds.
+    /// Mean time that a request takes at the usual speed, in milliseconds.
     pub work_ms: f64,
     /// Standard deviation of the logarithm of that time.
     pub spread: f64,
@@ -53,7 +53,7 @@
     pub part: f64,
     /// Factor by which requests take longer in a slow period.
     pub factor: f64,
-    /// Mean time between two random draws of the pace of a server, in milliseconds.
+    /// Mean time between two random draws of the slowdown of a server, in milliseconds.
     pub every_ms: f64,
 }
 
--- a/crates/galenapath-lab/src/lib.rs
+++ b/crates/galenapath-lab/src/lib.rs
@@ -4,9 +4,9 @@
 //! A [`Deployment`] describes the servers and the requests of callers. [`simulate`] runs instances
 //! that choose servers with the production [`Placement`](galenapath_policy::place::Placement) and
 //! [`PlacementQueue`](galenapath_policy::place::PlacementQueue), optionally with some mechanisms
-//! disabled. [`simulate_oracle`] runs a single dispatcher that knows the slots and pace of every
-//! server at all times. With the same seed, both get the same arrivals, work and slow periods, so
-//! their results differ only because of the decisions.
+//! disabled. [`simulate_oracle`] runs a single dispatcher that knows the slots and slowdown of
+//! every server at all times. With the same seed, both get the same arrivals, work and slow
+//! periods, so their results differ only because of the decisions.
 //!
 //! Simulated: load queries before a send, load updates between instances, probes, waiting,
 //! rejections, callers that retry once, slow periods, contention, and servers that shed requests.
--- a/crates/galenapath-lab/src/oracle.rs
+++ b/crates/galenapath-lab/src/oracle.rs
@@ -1,5 +1,5 @@
-//! A dispatcher that knows every slot, pace and work at all times, without network latency or load
-//! queries. It is the reference for the decisions of the instances.
+//! A dispatcher that knows every slot, slowdown and work at all times, without network latency or
+//! load queries. It is the reference for the decisions of the instances.
 
 use crate::callers::{Arrival, arrivals, micros_from_ms};
 use crate::deployment::Deployment;
--- a/crates/galenapath-lab/src/servers.rs
+++ b/crates/galenapath-lab/src/servers.rs
@@ -8,15 +8,15 @@
 use rand_distr::{Distribution, Exp};
 use std::collections::VecDeque;
 
-/// The usual pace of a server; a higher pace means slower work.
-const USUAL_PACE_PERCENT: f64 = 100.0;
+/// The slowdown of a server at its usual speed; a higher value means slower work.
+const USUAL_SLOWDOWN_PERCENT: f64 = 100.0;
 
 /// A request at a server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerRequest {
     /// Its number.
     pub(crate) request: usize,
-    /// Time that it takes at the usual pace.
+    /// Time that it takes at the usual speed.
     pub(crate) work: Micros,
 }
 
@@ -31,12 +31,12 @@
     Shed,
 }
 
-/// A simulated server. Its paces are drawn before the simulation starts, so that all simulations
-/// with one seed get the same ones.
+/// A simulated server. Its slowdowns are drawn before the simulation starts, so that all
+/// simulations with one seed get the same ones.
 pub(crate) struct Server {
     pub(crate) domain: usize,
-    /// Start times of paces, in percent of the usual pace.
-    paces: Vec<(Micros, f64)>,
+    /// Start times of slowdowns, and the slowdowns in percent of the usual work time.
+    slowdowns: Vec<(Micros, f64)>,
     pub(crate) running: u32,
     waiting: VecDeque<ServerRequest>,
 }
@@ -50,17 +50,17 @@
             .enumerate()
             .map(|(n, domain)| Self {
                 domain,
-                paces: draw_paces(deployment, seed.wrapping_mul(1_000_003) + n as u64),
+                slowdowns: draw_slowdowns(deployment, seed.wrapping_mul(1_000_003) + n as u64),
                 running: 0,
                 waiting: VecDeque::new(),
             })
             .collect()
     }
 
-    /// Its pace at `now`, in percent.
-    pub(crate) fn pace(&self, now: Micros) -> f64 {
-        let next = self.paces.partition_point(|(from, _)| *from <= now);
-        self.paces[..next].last().map_or(USUAL_PACE_PERCENT, |(_, pace)| *pace)
+    /// Its slowdown at `now`, in percent.
+    pub(crate) fn slowdown(&self, now: Micros) -> f64 {
+        let next = self.slowdowns.partition_point(|(from, _)| *from <= now);
+        self.slowdowns[..next].last().map_or(USUAL_SLOWDOWN_PERCENT, |(_, slowdown)| *slowdown)
     }
 
     /// Its load report.
@@ -70,7 +70,7 @@
             waiting: u32::try_from(self.waiting.len()).unwrap_or(u32::MAX),
             slots,
             leaving: false,
-            pace: self.pace(now) as u32,
+            pace: self.slowdown(now) as u32,
         }
     }
 
@@ -84,7 +84,7 @@
         let spec = &deployment.servers;
         let fill = f64::from(self.running + 1) / f64::from(spec.slots);
         let contention = if fill > spec.crowded_from { spec.crowded_factor } else { 1.0 };
-        Micros((work.0 as f64 * contention * self.pace(now) / USUAL_PACE_PERCENT) as u64)
+        Micros((work.0 as f64 * contention * self.slowdown(now) / USUAL_SLOWDOWN_PERCENT) as u64)
     }
 
     /// Starts a request, queues it or sheds it.
@@ -123,21 +123,21 @@
     }
 }
 
-fn draw_paces(deployment: &Deployment, seed: u64) -> Vec<(Micros, f64)> {
+fn draw_slowdowns(deployment: &Deployment, seed: u64) -> Vec<(Micros, f64)> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let spec = &deployment.spells;
     let Ok(gap) = Exp::new(1.0 / spec.every_ms) else { return Vec::new() };
     // Requests still run for some seconds after the last arrival.
     let end_ms = deployment.length_s * 1_000.0 + 2.0 * deployment.callers.patience_ms;
-    let mut paces = Vec::new();
+    let mut slowdowns = Vec::new();
     let mut at_ms = 0.0;
     while at_ms < end_ms {
         let is_slow = rng.random::<f64>() < spec.part;
-        paces.push((
+        slowdowns.push((
             micros_from_ms(at_ms),
-            if is_slow { USUAL_PACE_PERCENT * spec.factor } else { USUAL_PACE_PERCENT },
+            if is_slow { USUAL_SLOWDOWN_PERCENT * spec.factor } else { USUAL_SLOWDOWN_PERCENT },
         ));
         at_ms += gap.sample(&mut rng);
     }
-    paces
+    slowdowns
 }
--- a/crates/galenapath-lab/src/simulation/request.rs
+++ b/crates/galenapath-lab/src/simulation/request.rs
@@ -16,10 +16,10 @@
     /// Requests a server from the placement queue.
     pub(super) fn place(&mut self, request: usize, instance: usize) {
         let share = 1.0 / self.instances.len() as f32;
-        let wanted = self.placement_request(request, instance);
+        let placement_request = self.placement_request(request, instance);
         let now = self.now;
         let Instance { queue, placement, .. } = &mut self.instances[instance];
-        match queue.place(now, placement, wanted, share) {
+        match queue.place(now, placement, placement_request, share) {
             PlacementOutcome::Assigned(assignment) => {
                 self.query_or_send(request, instance, &assignment)
             }
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -95,7 +95,7 @@
     let world = World::start();
     let gateway = Gateway::start_ready(&world, &[]);
     for server in world.servers_of("look") {
-        server.set_pace(10_000);
+        server.set_slowdown(10_000);
     }
     let mut io = TcpStream::connect(gateway.callers()).unwrap();
     io.write_all(b"GET /look/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: k1\r\n\r\n").unwrap();
--- a/tests/gateway/servers.rs
+++ b/tests/gateway/servers.rs
@@ -94,8 +94,8 @@
         let (slow, fast) = (servers[round % 2], servers[(round + 1) % 2]);
         // The change falls between two regular probes, so only a load query before the send can
         // show it.
-        slow.set_pace(3_000);
-        fast.set_pace(100);
+        slow.set_slowdown(3_000);
+        fast.set_slowdown(100);
         // The result of a regular probe just before the change counts as fresh for 8 ms.
         std::thread::sleep(Duration::from_millis(12));
         let before = fast.executed_requests().len();
--- a/tests/gateway/traces.rs
+++ b/tests/gateway/traces.rs
@@ -54,7 +54,7 @@
     let world = World::start();
     let gateway = Gateway::start_ready(&world, &[]);
     for server in world.servers_of("look") {
-        server.set_pace(2_000);
+        server.set_slowdown(2_000);
     }
     // Two servers with six slots cannot answer forty concurrent requests in time.
     let refused = std::thread::scope(|scope| {
--- a/tests/gateway_soak/faults.rs
+++ b/tests/gateway_soak/faults.rs
@@ -104,9 +104,9 @@
             format!("server {at} {fault:?} for {span:?}")
         }
         6 => {
-            server.set_pace(rng.random_range(100..800));
+            server.set_slowdown(rng.random_range(100..800));
             std::thread::sleep(span);
-            server.set_pace(100);
+            server.set_slowdown(100);
             format!("server {at} slow for {span:?}")
         }
         7 => {
