--- a/crates/galenapath-dev/src/load/caller.rs
+++ b/crates/galenapath-dev/src/load/caller.rs
@@ -45,7 +45,7 @@
 
     async fn attempt(&self, req: &Request, addr: std::net::SocketAddr) -> Attempt {
         delay(self.opts.delay).await;
-        let result = timeout(self.opts.patience, req.send(&self.pool, addr)).await;
+        let result = timeout(self.opts.attempt_timeout, req.send(&self.pool, addr)).await;
         delay(self.opts.delay).await;
         result.unwrap_or(Attempt::Broken)
     }
--- a/crates/galenapath-dev/src/load/options.rs
+++ b/crates/galenapath-dev/src/load/options.rs
@@ -23,8 +23,8 @@
     #[arg(long, default_value = "10s", value_parser = humantime::parse_duration)]
     pub duration: Duration,
     /// Maximum number of requests of a class.
-    #[arg(long, default_value_t = 1_000_000)]
-    pub most: u64,
+    #[arg(long = "most", value_name = "MOST", default_value_t = 1_000_000)]
+    pub max_requests: u64,
     /// Maximum number of unanswered requests of a class; requests beyond it are not sent and
     /// counted as unsent.
     #[arg(long, default_value_t = 4_000)]
@@ -33,8 +33,13 @@
     #[arg(long, default_value_t = 3)]
     pub attempts: u32,
     /// Time-out of one attempt.
-    #[arg(long, default_value = "10s", value_parser = humantime::parse_duration)]
-    pub patience: Duration,
+    #[arg(
+        long = "patience",
+        value_name = "PATIENCE",
+        default_value = "10s",
+        value_parser = humantime::parse_duration
+    )]
+    pub attempt_timeout: Duration,
     /// Simulated one-way delay between callers and instances.
     #[arg(long, default_value = "0ms", value_parser = humantime::parse_duration)]
     pub delay: Duration,
--- a/crates/galenapath-dev/src/load/run.rs
+++ b/crates/galenapath-dev/src/load/run.rs
@@ -57,7 +57,7 @@
     });
     let began = Instant::now();
     let arrivals = Arrivals::new(seed, class.rate, opts.duration);
-    for (index, at) in (0..opts.most).zip(arrivals) {
+    for (index, at) in (0..opts.max_requests).zip(arrivals) {
         let due = began + at;
         let wait = due.saturating_duration_since(Instant::now());
         if !wait.is_zero() {
--- a/crates/galenapath-entry/src/control/accept.rs
+++ b/crates/galenapath-entry/src/control/accept.rs
@@ -1,6 +1,6 @@
 //! Accepts operators' changes by executing the actions of `galenapath_config::Acceptance`.
 
-use super::configuration::{handle_applied, read_snapshot};
+use super::configuration::{handle_apply_outcome, read_snapshot};
 use super::plane::ControlPlane;
 use crate::clock::unix_millis;
 use bytes::Bytes;
@@ -30,7 +30,7 @@
             if let Outcome::Accepted { chain, .. } = &outcome {
                 let head = chain.head().clone();
                 let applied = plane.replica.borrow_mut().apply_from(chain.config(), head);
-                handle_applied(plane, &applied);
+                handle_apply_outcome(plane, &applied);
             }
             return outcome;
         }
--- a/crates/galenapath-entry/src/control/configuration.rs
+++ b/crates/galenapath-entry/src/control/configuration.rs
@@ -96,9 +96,9 @@
         ApplyOutcome::Gap { snapshot } => {
             let Some(config) = read_snapshot(plane, snapshot).await else { return };
             let applied = plane.replica.borrow_mut().apply_from(&config, head);
-            handle_applied(plane, &applied);
+            handle_apply_outcome(plane, &applied);
         }
-        applied => handle_applied(plane, &applied),
+        outcome => handle_apply_outcome(plane, &outcome),
     }
 }
 
@@ -117,8 +117,8 @@
 }
 
 /// Publishes the configuration if the replica advanced, and reports a diverged configuration.
-pub(super) fn handle_applied(plane: &ControlPlane, applied: &ApplyOutcome) {
-    match applied {
+pub(super) fn handle_apply_outcome(plane: &ControlPlane, outcome: &ApplyOutcome) {
+    match outcome {
         ApplyOutcome::Advanced { .. } => plane.publish_config(),
         ApplyOutcome::Stale | ApplyOutcome::Gap { .. } => {}
         ApplyOutcome::Diverged => {
@@ -141,7 +141,7 @@
         plane.shared.metrics.count_fault("bad_peer_configuration");
         return;
     };
-    handle_applied(&plane, &applied);
+    handle_apply_outcome(&plane, &applied);
 }
 
 /// Applies a configuration document from a peer; `None` if it cannot be decoded.
--- a/crates/galenapath-entry/src/control/operators/changes.rs
+++ b/crates/galenapath-entry/src/control/operators/changes.rs
@@ -38,7 +38,7 @@
     log::info!(change:% = id, author, class, outcome = outcome_name(&outcome); "change decided");
     match outcome {
         Outcome::Accepted { version, .. } => answer_accepted(plane, version).await,
-        Outcome::Rejected(refusal) => answer_rejected(&refusal),
+        Outcome::Rejected(rejection) => answer_rejected(&rejection),
         Outcome::Unavailable(verdict) => answer_unavailable(verdict),
         Outcome::StoreBehind => answer_store_behind(),
     }
@@ -65,9 +65,9 @@
     Answer::error(StatusCode::BAD_REQUEST, ErrorCodeWire::Invalid, message)
 }
 
-fn answer_rejected(refusal: &ChangeRejection) -> Answer {
-    let message = refusal.to_string();
-    match refusal {
+fn answer_rejected(rejection: &ChangeRejection) -> Answer {
+    let message = rejection.to_string();
+    match rejection {
         ChangeRejection::Conflict { class, newer } => Answer::failure(
             StatusCode::CONFLICT,
             ErrorCodeWire::Conflict,
--- a/crates/galenapath-entry/src/data/filing.rs
+++ b/crates/galenapath-entry/src/data/filing.rs
@@ -35,9 +35,9 @@
         Err(answer) => return call.end_with(caller, &answer).await,
     };
     let req = Prepared::new(&call.plane, &call.meta, head, body);
-    let admit = filing_wait::admit(&call.plane, &call.meta, &key, &req).await;
-    count_decision(&call.plane, &admit);
-    match admit {
+    let decision = filing_wait::admit(&call.plane, &call.meta, &key, &req).await;
+    count_decision(&call.plane, &decision);
+    match decision {
         // Once dispatched, a filing runs to its end even if the caller disconnects, because a
         // resend with the same key is answered with its outcome.
         FilingDecision::Run(id) => {
@@ -63,8 +63,8 @@
     FilingKey::parse(&meta.workspace, text).map_err(|e| bad(&e.to_string()))
 }
 
-fn count_decision(plane: &DataPlane, admit: &FilingDecision) {
-    let decision = match admit {
+fn count_decision(plane: &DataPlane, decision: &FilingDecision) {
+    let label = match decision {
         FilingDecision::Run(_) => "run",
         FilingDecision::InProgress(_) => "in_progress",
         FilingDecision::Replay(_) => "replayed",
@@ -77,17 +77,17 @@
         FilingDecision::Unclaimed { .. } => "unclaimed",
         FilingDecision::Expired => "expired",
     };
-    plane.shared.metrics.filings.with_label_values(&[decision]).inc();
+    plane.shared.metrics.filings.with_label_values(&[label]).inc();
     let records = i64::try_from(plane.filings.borrow().len()).unwrap_or(i64::MAX);
     plane.shared.metrics.filing_records.set(records);
 }
 
 /// Returns the answer to a filing that is not dispatched.
-fn answer_to(admit: &FilingDecision) -> OwnAnswer {
+fn answer_to(decision: &FilingDecision) -> OwnAnswer {
     let may_have = |reason, text| {
         OwnAnswer::may_have_run(StatusCode::CONFLICT, reason, text).with_retry_after(RESEND_AFTER)
     };
-    match admit {
+    match decision {
         FilingDecision::Mismatch => OwnAnswer::not_run(
             StatusCode::UNPROCESSABLE_ENTITY,
             "key_mismatch",
--- a/crates/galenapath-entry/src/data/filing_wait.rs
+++ b/crates/galenapath-entry/src/data/filing_wait.rs
@@ -23,13 +23,13 @@
     key: &FilingKey,
     req: &Prepared,
 ) -> FilingDecision {
-    let mut admit = plane.filings.borrow_mut().admit(plane.now(), key, req.fingerprint);
+    let mut decision = plane.filings.borrow_mut().admit(plane.now(), key, req.fingerprint);
     // One wait for a running filing and one claim, each followed by another decision.
     for _ in 0..3 {
-        admit = match admit {
+        decision = match decision {
             FilingDecision::InProgress(id) => {
                 if !wait(plane, meta, id).await {
-                    return admit;
+                    return decision;
                 }
                 plane.filings.borrow_mut().admit(plane.now(), key, req.fingerprint)
             }
@@ -40,7 +40,7 @@
             other => return other,
         };
     }
-    admit
+    decision
 }
 
 /// Waits for the end of a running filing; returns `false` if it does not end in time or too many
--- a/crates/galenapath-entry/src/data/headers.rs
+++ b/crates/galenapath-entry/src/data/headers.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Adds the headers that tell a backend server about a request.
+/// Adds the headers that describe a request to a backend server.
 pub(super) fn add_request(headers: &mut HeaderMap, id: RequestId, time_left: Micros) {
     set(headers, REQUEST_ID_HEADER, &id.to_string());
     set_deadline(headers, time_left);
--- a/crates/galenapath-gateway/src/exchange.rs
+++ b/crates/galenapath-gateway/src/exchange.rs
@@ -82,11 +82,14 @@
     loop {
         let in_flight = match place(call).await {
             Ok(in_flight) => in_flight,
-            Err(NoServer::Rejected(refusal)) => {
+            Err(NoServer::Rejected(rejection)) => {
                 add_shortage_step(call);
-                call.add_step(&format!("refused:predicted{}ms ", refusal.predicted_wait.0 / 1_000));
+                call.add_step(&format!(
+                    "refused:predicted{}ms ",
+                    rejection.predicted_wait.0 / 1_000
+                ));
                 let mut failure = failure(call, "no_room", StatusCode::BAD_GATEWAY);
-                failure.retry_after = failure.retry_after.map(|_| refusal.retry_after);
+                failure.retry_after = failure.retry_after.map(|_| rejection.retry_after);
                 return fallback.ok_or(failure);
             }
             Err(NoServer::Unavailable) => {
@@ -138,11 +141,12 @@
     };
     let is_large = req.route.kind == RouteKind::Download;
     call.service.placement.borrow_mut().assume_work(req.route.target.into());
-    let wanted = PlacementRequest { entry, tried: excluded, is_large };
-    let mut result = call.service.place(&call.instance, wanted).await;
+    let placement_request = PlacementRequest { entry, tried: excluded, is_large };
+    let mut result = call.service.place(&call.instance, placement_request).await;
     if matches!(result, Err(NoServer::Unavailable)) && !call.unfit.take().is_empty() {
-        let wanted = PlacementRequest { entry, tried: call.tried.borrow().clone(), is_large };
-        result = call.service.place(&call.instance, wanted).await;
+        let placement_request =
+            PlacementRequest { entry, tried: call.tried.borrow().clone(), is_large };
+        result = call.service.place(&call.instance, placement_request).await;
     }
     call.waited.set(call.waited.get() + (call.instance.now() - began));
     result
--- a/crates/galenapath-gateway/src/fleet/convert.rs
+++ b/crates/galenapath-gateway/src/fleet/convert.rs
@@ -282,7 +282,7 @@
     fn try_from(wire: ListedServerWire) -> Result<Self, String> {
         let address = wire.address.parse().map_err(|e| format!("`{}`: {e}", wire.address))?;
         let state = if wire.leaving { ServerState::Leaving } else { ServerState::Ready };
-        let lapses = u64::from(wire.lapses_ms);
+        let expires_in_ms = u64::from(wire.lapses_ms);
         Ok(Self {
             revision: wire.revision,
             record: ServerRecord {
@@ -295,7 +295,7 @@
                 state,
                 cold_for: Duration::from_millis(u64::from(wire.cold_ms)),
             },
-            expires_in: (lapses > 0).then_some(Micros::from_millis(lapses)),
+            expires_in: (expires_in_ms > 0).then_some(Micros::from_millis(expires_in_ms)),
         })
     }
 }
--- a/crates/galenapath-gateway/src/fleet/tasks.rs
+++ b/crates/galenapath-gateway/src/fleet/tasks.rs
@@ -42,7 +42,7 @@
         sleep_to_next(&instance, TICK_PERIOD).await;
         let now = instance.now();
         let changes = instance.membership.borrow_mut().tick(now);
-        changes.iter().for_each(|change| log_belief(&instance, change));
+        changes.iter().for_each(|change| log_reachability_change(&instance, change));
         let up = instance.membership.borrow().peers().filter(|peer| peer.is_up()).count();
         instance.metrics.peers.set(i64::try_from(up).unwrap_or(i64::MAX));
         instance.expire_servers();
@@ -71,7 +71,7 @@
 
 /// Changes found by other instances are logged by those as well, so they are subject to the line
 /// budget here.
-fn log_belief(instance: &Instance, change: &ReachabilityChange) {
+fn log_reachability_change(instance: &Instance, change: &ReachabilityChange) {
     if !change.is_detected_here && !instance.may_log(LogLineKind::Peer) {
         return;
     }
--- a/crates/galenapath-gateway/src/in_flight.rs
+++ b/crates/galenapath-gateway/src/in_flight.rs
@@ -22,17 +22,17 @@
 impl InFlight {
     /// Counts a request at `server`.
     pub(crate) fn start(service: &Rc<Service>, instance: &Rc<Instance>, server: BackendId) -> Self {
-        let started = service.placement.borrow_mut().start(instance.now(), &server);
-        Self::assigned(service, instance, Assignment { server, snapshot: started })
+        let snapshot = service.placement.borrow_mut().start(instance.now(), &server);
+        Self::assigned(service, instance, Assignment { server, snapshot })
     }
 
     /// Takes over a request that is already counted at its server.
     pub(crate) fn assigned(
         service: &Rc<Service>,
         instance: &Rc<Instance>,
-        given: Assignment,
+        assignment: Assignment,
     ) -> Self {
-        let Assignment { server, snapshot } = given;
+        let Assignment { server, snapshot } = assignment;
         let (service, instance) = (Rc::clone(service), Rc::clone(instance));
         Self {
             service,
--- a/crates/galenapath-gateway/src/service.rs
+++ b/crates/galenapath-gateway/src/service.rs
@@ -355,7 +355,7 @@
 }
 
 /// The retry budget of an instance that serves `share` of all requests.
-fn retry_config(allowance: &RetrySettings, share: f64) -> RetryConfig {
-    let RetrySettings { ratio, slack, window } = *allowance;
+fn retry_config(settings: &RetrySettings, share: f64) -> RetryConfig {
+    let RetrySettings { ratio, slack, window } = *settings;
     SharedRetryBudget { ratio, slack, window: window.into() }.for_share(share)
 }
--- a/crates/galenapath-gateway/src/sharing.rs
+++ b/crates/galenapath-gateway/src/sharing.rs
@@ -59,11 +59,11 @@
         }
     }
 
-    fn add_load(&mut self, domain: DomainId, id: &BackendId, sighting: LoadObservation) {
-        let is_update = self.last_sent.get(id).is_none_or(|sent| sighting.is_update_to(sent));
+    fn add_load(&mut self, domain: DomainId, id: &BackendId, observation: LoadObservation) {
+        let is_update = self.last_sent.get(id).is_none_or(|sent| observation.is_update_to(sent));
         if is_update {
-            self.by_domain.entry(domain).or_default().loads.insert(id.clone(), sighting);
-            self.last_sent.insert(id.clone(), sighting);
+            self.by_domain.entry(domain).or_default().loads.insert(id.clone(), observation);
+            self.last_sent.insert(id.clone(), observation);
             self.wake();
         }
     }
@@ -93,10 +93,10 @@
 impl DomainUpdates {
     /// Converts the updates to a message sent at `now`.
     fn into_message(self, now: Micros) -> Loads {
-        let load = |(id, seen): (BackendId, LoadObservation)| LoadNote {
+        let load = |(id, observation): (BackendId, LoadObservation)| LoadNote {
             server: id.short_hash(),
-            age: now - seen.at,
-            report: seen.report,
+            age: now - observation.at,
+            report: observation.report,
         };
         let failure =
             |(id, weight): (BackendId, f32)| FailureNote { server: id.short_hash(), weight };
@@ -112,9 +112,14 @@
 
 impl Instance {
     /// Queues a load observation of a server for the other instances.
-    pub(crate) fn share_load(&self, service: &Service, id: &BackendId, sighting: LoadObservation) {
+    pub(crate) fn share_load(
+        &self,
+        service: &Service,
+        id: &BackendId,
+        observation: LoadObservation,
+    ) {
         let Some(domain) = service.domain(id) else { return };
-        self.outbox.borrow_mut().add_load(domain, id, sighting);
+        self.outbox.borrow_mut().add_load(domain, id, observation);
     }
 
     /// Queues a failed request on a server for the other instances.
@@ -150,8 +155,8 @@
             }
             for note in &loads.loads {
                 if let Some(id) = service.by_short_id(note.server) {
-                    let sighting = LoadObservation { at: now - note.age, report: note.report };
-                    service.observe_load(self, &id, sighting);
+                    let observation = LoadObservation { at: now - note.age, report: note.report };
+                    service.observe_load(self, &id, observation);
                 }
             }
             for note in &loads.failures {
--- a/crates/galenapath-gateway/src/waiting.rs
+++ b/crates/galenapath-gateway/src/waiting.rs
@@ -35,15 +35,15 @@
     pub(crate) async fn place(
         self: &Rc<Self>,
         instance: &Rc<Instance>,
-        wanted: PlacementRequest,
+        request: PlacementRequest,
     ) -> Result<InFlight, NoServer> {
         self.prepare(instance);
-        let (now, ticket) = (instance.now(), wanted.entry.ticket);
-        let placed = {
+        let (now, ticket) = (instance.now(), request.entry.ticket);
+        let outcome = {
             let (mut queue, mut placement) = (self.queue.borrow_mut(), self.placement.borrow_mut());
-            queue.place(now, &mut placement, wanted, instance.load_share())
+            queue.place(now, &mut placement, request, instance.load_share())
         };
-        match placed {
+        match outcome {
             PlacementOutcome::Assigned(assignment) => {
                 Ok(InFlight::assigned(self, instance, assignment))
             }
@@ -62,11 +62,11 @@
     ) -> Option<InFlight> {
         self.prepare(instance);
         let now = instance.now();
-        let ask = RequestCriteria { tried, is_large, time_left: Micros::ZERO };
-        if !self.placement.borrow().has_good_server(now, &ask) {
+        let criteria = RequestCriteria { tried, is_large, time_left: Micros::ZERO };
+        if !self.placement.borrow().has_good_server(now, &criteria) {
             return None;
         }
-        let choice = self.placement.borrow_mut().choose(now, &ask);
+        let choice = self.placement.borrow_mut().choose(now, &criteria);
         match choice {
             Choice::Server(id) => Some(InFlight::start(self, instance, id)),
             Choice::Wait | Choice::NoServer => None,
--- a/crates/galenapath-membership/src/watchers.rs
+++ b/crates/galenapath-membership/src/watchers.rs
@@ -63,7 +63,7 @@
 pub fn watch_role<'a>(
     own: Incarnation,
     own_domain: &'a DomainId,
-    own_vitals: &InstanceStatus,
+    own_status: &InstanceStatus,
     peers: impl Iterator<Item = &'a Peer>,
 ) -> WatchRole {
     let mut all: Vec<Candidate<'a>> = peers
@@ -74,8 +74,8 @@
             is_failing: peer.status.store == StoreHealth::Failing,
         })
         .collect();
-    if !own_vitals.is_leaving {
-        let is_failing = own_vitals.store == StoreHealth::Failing;
+    if !own_status.is_leaving {
+        let is_failing = own_status.store == StoreHealth::Failing;
         all.push(Candidate { id: own, domain: own_domain, is_failing });
     }
     all.sort_by_key(|c| (c.is_failing, hash64(ORDER_SEED, &c.id.0.to_le_bytes())));
--- a/crates/galenapath-policy/benches/decisions/sim/admit.rs
+++ b/crates/galenapath-policy/benches/decisions/sim/admit.rs
@@ -88,17 +88,17 @@
     /// Applies decisions of admission until there are no more.
     pub(super) fn apply_decisions(&mut self, instance: usize) {
         let now = Micros(self.now);
-        let mut steps = Vec::new();
+        let mut decisions = Vec::new();
         loop {
             let entry = &mut self.entries[instance];
             let Some(gate) = &mut entry.gate else { return };
             gate.update_capacity(now, &mut entry.balancer);
-            gate.admission.poll(now, &mut steps);
-            if steps.is_empty() {
+            gate.admission.poll(now, &mut decisions);
+            if decisions.is_empty() {
                 return;
             }
-            for step in steps.drain(..) {
-                match step {
+            for decision in decisions.drain(..) {
+                match decision {
                     QueuedDecision::Start(req) => self.send_admitted(req as usize),
                     QueuedDecision::Reject(req, _) => self.reject(req as usize),
                 }
--- a/crates/galenapath-policy/examples/admission_cost.rs
+++ b/crates/galenapath-policy/examples/admission_cost.rs
@@ -38,7 +38,7 @@
     let indices: Vec<WorkspaceIndex> =
         (0..workspaces).map(|i| admission.workspace_index(&i.to_string())).collect();
     let mut running: VecDeque<Ticket> = VecDeque::new();
-    let mut steps = Vec::new();
+    let mut decisions = Vec::new();
     let mut started = 0;
     let begin = Instant::now();
     for ticket in 0..REQUESTS {
@@ -56,9 +56,9 @@
             let latency = Micros(GAP * running.len() as u64);
             admission.finish(now, ended, Outcome::Answered, latency);
         }
-        admission.poll(now, &mut steps);
-        for step in steps.drain(..) {
-            if let QueuedDecision::Start(ticket) = step {
+        admission.poll(now, &mut decisions);
+        for decision in decisions.drain(..) {
+            if let QueuedDecision::Start(ticket) = decision {
                 running.push_back(ticket);
                 started += 1;
             }
--- a/crates/galenapath-policy/tests/measure/probers.rs
+++ b/crates/galenapath-policy/tests/measure/probers.rs
@@ -34,9 +34,12 @@
 
 #[test]
 fn probing_instance_of_domain_without_instances_sends_across_domains() {
-    let home = domain(0);
-    let at =
-        |n, is_cross_domain| Prober { incarnation: Incarnation(n), domain: &home, is_cross_domain };
+    let local = domain(0);
+    let at = |n, is_cross_domain| Prober {
+        incarnation: Incarnation(n),
+        domain: &local,
+        is_cross_domain,
+    };
     assert_eq!(probing_instance(&[at(1, false), at(2, false)], &domain(9), &id(1)), None);
     assert_eq!(
         probing_instance(&[at(1, false), at(2, true)], &domain(9), &id(1)),
@@ -68,9 +71,12 @@
 
 #[test]
 fn limit_share_of_domain_without_instances_goes_to_others() {
-    let home = domain(0);
-    let at =
-        |n, is_cross_domain| Prober { incarnation: Incarnation(n), domain: &home, is_cross_domain };
+    let local = domain(0);
+    let at = |n, is_cross_domain| Prober {
+        incarnation: Incarnation(n),
+        domain: &local,
+        is_cross_domain,
+    };
     let part = |probing: &[Prober<'_>], own| {
         limit_share(probing, &domain(9), &id(1), Incarnation(own), 1.0).part
     };
