--- a/crates/galenapath-ctl/src/classes.rs
+++ b/crates/galenapath-ctl/src/classes.rs
@@ -88,8 +88,8 @@
     if must_exist && !classes.classes.iter().any(|class| class.name == *name) {
         return Err(CtlError::NoSuchClass(name.clone()));
     }
-    let mark = classes.marks.iter().find(|mark| mark.class == *name);
-    Ok(mark.map_or(0, |mark| mark.revision))
+    let last_change = classes.marks.iter().find(|last| last.class == *name);
+    Ok(last_change.map_or(0, |last| last.revision))
 }
 
 fn login_name() -> String {
--- a/crates/galenapath-filings/src/guards.rs
+++ b/crates/galenapath-filings/src/guards.rs
@@ -9,21 +9,21 @@
     /// Only the incarnation that an issued key names dispatches it.
     pub incarnation_binds: bool,
     /// A caller-chosen key is claimed in the store before it is dispatched.
-    pub own_key_claimed: bool,
+    pub caller_chosen_key_claimed: bool,
     /// The record is created when the key is admitted, before the dispatch. If off, the record
     /// counts only after the filing has ended.
     pub record_first: bool,
     /// A lost attempt gives "may have run" and the filing is not dispatched again.
     pub lost_is_final: bool,
     /// Keys of a window whose records have been dropped are rejected.
-    pub expired_refused: bool,
+    pub expired_rejected: bool,
     /// A full table rejects new keys. If off, it drops the oldest record.
-    pub full_refuses: bool,
+    pub full_rejects: bool,
     /// A claim in the store by the same incarnation counts as won only if it is not older than the
     /// record.
     pub claim_age_checked: bool,
     /// The store's reply to a claim is ignored once `claim_timeout` has passed.
-    pub stale_claim_refused: bool,
+    pub stale_claim_ignored: bool,
     /// A record that no longer exists when the first byte is about to be sent stops the dispatch.
     pub sent_checked: bool,
     /// Requests with the same key must have the same fingerprint.
@@ -40,13 +40,13 @@
     /// All guards on.
     pub const ON: Self = Self {
         incarnation_binds: true,
-        own_key_claimed: true,
+        caller_chosen_key_claimed: true,
         record_first: true,
         lost_is_final: true,
-        expired_refused: true,
-        full_refuses: true,
+        expired_rejected: true,
+        full_rejects: true,
         claim_age_checked: true,
-        stale_claim_refused: true,
+        stale_claim_ignored: true,
         sent_checked: true,
         fingerprint_checked: true,
         unclaimed_unbound: true,
--- a/crates/galenapath-filings/src/table.rs
+++ b/crates/galenapath-filings/src/table.rs
@@ -251,7 +251,7 @@
         if self.records.insert(id, record.clone(), max) {
             return true;
         }
-        if self.guards.full_refuses {
+        if self.guards.full_rejects {
             return false;
         }
         self.records.drop_oldest();
--- a/crates/galenapath-filings/src/table/admit.rs
+++ b/crates/galenapath-filings/src/table/admit.rs
@@ -74,7 +74,7 @@
 
     fn admit_issued(&mut self, key: KeyId, window: u32, fp: Fingerprint) -> FilingDecision {
         let first_live_window = self.records.first_live_window();
-        let expired = window < first_live_window && self.guards.expired_refused;
+        let expired = window < first_live_window && self.guards.expired_rejected;
         if expired || window > self.window().saturating_add(MAX_WINDOWS_AHEAD) {
             return FilingDecision::Expired;
         }
--- a/crates/galenapath-filings/src/table/claims.rs
+++ b/crates/galenapath-filings/src/table/claims.rs
@@ -40,7 +40,7 @@
             return FilingDecision::MayHaveRun;
         }
         let fp = record.fp;
-        if stale && self.guards.stale_claim_refused {
+        if stale && self.guards.stale_claim_ignored {
             return self.mark_unclaimed(id, first);
         }
         match result {
@@ -68,7 +68,7 @@
         if let Some(decision) = self.handed_over.admit_caller_chosen(key, fp) {
             return decision;
         }
-        if !self.guards.own_key_claimed {
+        if !self.guards.caller_chosen_key_claimed {
             let id = self.open(self.window(), key, fp, State::Admitted, true);
             return id.map_or(FilingDecision::MayHaveRun, FilingDecision::Run);
         }
--- a/crates/galenapath-filings/tests/model_mutations.rs
+++ b/crates/galenapath-filings/tests/model_mutations.rs
@@ -24,8 +24,13 @@
 }
 
 #[test]
-fn own_key_claimed_off() {
-    off("own_key_claimed", Guards { own_key_claimed: false, ..ON }, CALLER_CHOSEN, TWICE);
+fn caller_chosen_key_claimed_off() {
+    off(
+        "caller_chosen_key_claimed",
+        Guards { caller_chosen_key_claimed: false, ..ON },
+        CALLER_CHOSEN,
+        TWICE,
+    );
 }
 
 #[test]
@@ -40,15 +45,15 @@
 }
 
 #[test]
-fn expired_refused_off() {
+fn expired_rejected_off() {
     let b = Bounds { ticks: 2, ..ISSUED };
-    off("expired_refused", Guards { expired_refused: false, ..ON }, b, TWICE);
+    off("expired_rejected", Guards { expired_rejected: false, ..ON }, b, TWICE);
 }
 
 #[test]
-fn full_refuses_off() {
+fn full_rejects_off() {
     let b = Bounds { keys: 2, sends: 3, max_records: 1, ..ISSUED };
-    off("full_refuses", Guards { full_refuses: false, ..ON }, b, TWICE);
+    off("full_rejects", Guards { full_rejects: false, ..ON }, b, TWICE);
 }
 
 #[test]
@@ -58,9 +63,9 @@
 }
 
 #[test]
-fn stale_claim_refused_off() {
+fn stale_claim_ignored_off() {
     let b = Bounds { ticks: 4, fine_steps: false, ..CALLER_CHOSEN };
-    off("stale_claim_refused", Guards { stale_claim_refused: false, ..ON }, b, TWICE);
+    off("stale_claim_ignored", Guards { stale_claim_ignored: false, ..ON }, b, TWICE);
 }
 
 #[test]
--- a/crates/galenapath-gateway/src/fleet/convert.rs
+++ b/crates/galenapath-gateway/src/fleet/convert.rs
@@ -154,8 +154,8 @@
 }
 
 impl From<&Evacuation> for EvacuationWire {
-    fn from(mark: &Evacuation) -> Self {
-        let Evacuation { domain, revision, is_in_force } = mark;
+    fn from(evacuation: &Evacuation) -> Self {
+        let Evacuation { domain, revision, is_in_force } = evacuation;
         Self { domain: domain.0.to_string(), revision: *revision, in_force: *is_in_force }
     }
 }
--- a/crates/galenapath-membership/tests/listing.rs
+++ b/crates/galenapath-membership/tests/listing.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn apply_delta_from_later_position_refused() {
+fn apply_delta_from_later_position_rejected() {
     let mut ahead = TrackedList::default();
     ahead.apply_list(5, list(&[("a", 1)]));
     ahead.apply_list(6, list(&[("a", 1), ("b", 1)]));
