--- a/crates/galenapath-config/src/generated.rs
+++ b/crates/galenapath-config/src/generated.rs
@@ -13,7 +13,7 @@
 pub struct ChangeRecordWire {
     ///When it was proposed, in milliseconds since 1970-01-01 UTC.
     pub at_unix_ms: u64,
-    ///Who asked.
+    ///Operator who proposed the change.
     pub author: ::std::string::String,
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub from: ::std::option::Option<ClassWire>,
@@ -24,19 +24,19 @@
     ///Version that the change made.
     pub version: u64,
 }
-///A change and what its author saw.
+///A proposed change and the revision that its author based it on.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRequestWire {
-    ///Who asks.
+    ///Operator who proposes the change.
     pub author: ::std::string::String,
-    ///Revision of the class that the author saw; 0 where there never was one.
+    ///Revision of the class that the author based the change on; 0 if the class never existed.
     pub base: u64,
     pub change: ChangeWire,
-    ///Identifier, the same when the change is sent again.
+    ///Identifier; a retry of the change uses the same one.
     pub id: ::std::string::String,
 }
-///A change that an operator asks for.
+///A change that an operator requests.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub enum ChangeWire {
     #[serde(rename = "create_class")]
@@ -61,7 +61,7 @@
         Self::RemoveClass(value)
     }
 }
-///What the requests of a class do.
+///Kind of the requests of a class.
 #[derive(
     ::serde::Deserialize,
     ::serde::Serialize,
@@ -148,7 +148,7 @@
     ///Newest version.
     pub version: u64,
 }
-///The last change of a class, also of a removed one.
+///The last change of a class; kept for removed classes too.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct MarkWire {
@@ -183,13 +183,13 @@
     ///Version of the configuration.
     pub version: u64,
 }
-///How fast and how reliably a class must be served.
+///Latency target of a class.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct TargetWire {
     ///Latency in milliseconds.
     pub latency_ms: u32,
-    ///Share of the requests that must meet it, such as 0.99.
+    ///Share of the requests that must be answered within the latency, such as 0.99.
     pub share: f64,
 }
 /// Error types.
--- a/crates/galenapath-config/src/generated_operators.rs
+++ b/crates/galenapath-config/src/generated_operators.rs
@@ -25,7 +25,7 @@
 #[serde(deny_unknown_fields)]
 pub struct ClassesWire {
     pub classes: ::std::vec::Vec<crate::wire::ClassWire>,
-    ///Last change of each class, also of removed ones.
+    ///Last change of each class, including removed classes.
     pub marks: ::std::vec::Vec<crate::wire::MarkWire>,
     ///Version of the configuration.
     pub version: u64,
@@ -101,7 +101,7 @@
         value.parse()
     }
 }
-///Answer of a call that was turned away.
+///Answer to a call that was rejected.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ErrorWire {
@@ -131,7 +131,7 @@
     pub total_us: u64,
     ///Verdict of the answer.
     pub verdict: ::std::string::String,
-    ///What decided it.
+    ///Reason for the verdict.
     pub why: ::std::string::String,
     ///Workspace of the caller.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
@@ -196,15 +196,15 @@
         value.parse()
     }
 }
-///What the instance knows of a peer.
+///The instance's view of a peer.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PeerStatusWire {
-    ///Time since it told, in milliseconds.
+    ///Time since that report, in milliseconds.
     pub age_ms: u64,
     ///Name of the peer.
     pub name: ::std::string::String,
-    ///Version that the peer last told.
+    ///Configuration version that the peer last reported.
     pub version: u64,
 }
 ///Answer of `GET /v1/status`.
@@ -223,7 +223,7 @@
     ///Version of the configuration in force.
     pub version: u64,
 }
-///What the instance knows of the platform's store.
+///The instance's view of the platform's store.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct StoreStatusWire {
--- a/crates/galenapath-gateway/src/fleet/generated.rs
+++ b/crates/galenapath-gateway/src/fleet/generated.rs
@@ -4,13 +4,13 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct BeatWire {
-    ///Incarnations that the sender finds silent.
+    ///Incarnations from which the sender no longer receives heartbeats.
     pub accused: ::std::vec::Vec<u64>,
-    ///Requests a second that it can take with ease.
+    ///Requests a second that the sender can serve without overload.
     pub capacity: u32,
     ///Version of the configuration in force.
     pub config_version: u64,
-    ///Exclusive or of the incarnations that the sender believes in, its own included.
+    ///Exclusive or of the incarnations that the sender considers up, its own included.
     pub digest: u64,
     ///Bits: 1 ready, 2 leaving, 4 watches the store, 8 the store answers, 16 the store does not answer, 32 serves callers, 64 sends requests beyond its failure domain.
     pub flags: u8,
@@ -18,7 +18,7 @@
     pub from: u64,
     ///Position of the list of backend servers.
     pub position: u64,
-    ///Requests a second that callers send it.
+    ///Requests a second that the sender receives from callers.
     pub rate: u32,
 }
 ///A backend server crashed while a request of the sender ran there.
@@ -27,7 +27,7 @@
 pub struct CrashWire {
     ///Upper half of the request's fingerprint.
     pub request_high: u64,
-    ///Lower half of it.
+    ///Lower half of the request's fingerprint.
     pub request_low: u64,
     ///Hash of the server's identity.
     pub server: u64,
@@ -78,18 +78,18 @@
         Self::E(value)
     }
 }
-///The sender ends now.
+///The sender is shutting down now.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct EndWire {
     pub from: u64,
 }
-///What the operator last said of a failure domain.
+///The operator's latest decision on evacuating a failure domain.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct EvacuationWire {
     pub domain: ::std::string::String,
-    ///Whether its backend servers get nothing; false once it is restored.
+    ///Whether the failure domain is evacuated, so that its backend servers get no requests; false once it is restored.
     pub in_force: bool,
     pub revision: u64,
 }
@@ -99,7 +99,7 @@
 pub struct FailureWire {
     ///Hash of the server's identity.
     pub server: u32,
-    ///Hundredths of a plain failure.
+    ///Weight of the failures in hundredths of an ordinary failure.
     pub weight: u32,
 }
 ///One instance.
@@ -112,7 +112,7 @@
     pub name: ::std::string::String,
     pub peers: ::std::string::String,
 }
-///Messages between gateway instances: datagrams, and the exchange by which an instance that is behind takes in the state.
+///Messages between gateway instances: datagrams, and the exchange by which an instance with outdated state fetches the current one.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, Default, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct FleetWire {
@@ -123,7 +123,7 @@
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub state: ::std::option::Option<StateWire>,
 }
-///An instance tells who it is and asks who is there.
+///Introduces the sender and requests the list of known instances.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct HelloWire {
@@ -133,16 +133,16 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct LimitWire {
-    ///Age of its word when this was sent.
+    ///Age of the server's statement when this message was sent.
     pub age_ms: u32,
-    ///Whether it names a limit; false once it names none any more.
+    ///Whether the server states a limit; false once it no longer states one.
     pub is_named: bool,
-    ///Requests a second that it takes from all instances together.
+    ///Requests a second that the server accepts from all instances together.
     pub per_second: f64,
     ///Hash of the server's identity.
     pub server: u64,
 }
-///A backend server's entry.
+///Entry of a backend server in the list.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ListedServerWire {
@@ -150,13 +150,13 @@
     pub cold_ms: u32,
     pub domain: ::std::string::String,
     pub id: ::std::string::String,
-    ///Time left for a vanished entry to come back; 0 for an entry that stands.
+    ///Time in milliseconds until an entry missing from the store is dropped; 0 for an entry that is present.
     pub lapses_ms: u32,
     pub leaving: bool,
     pub revision: u64,
     pub service: ::std::string::String,
     pub slots: u32,
-    ///Unix milliseconds of the start of its process; 0 where it does not tell.
+    ///Start of the server's process in Unix milliseconds; 0 if the server does not report it.
     #[serde(default)]
     pub started: u64,
 }
@@ -166,7 +166,7 @@
 pub struct LoadWire {
     ///Age of the report when it was sent.
     pub age_ms: u32,
-    ///Percent of the usual; 0 when not told.
+    ///Work time in percent of the usual; 0 if not reported.
     pub pace: u32,
     pub running: u32,
     ///Hash of the server's identity.
@@ -174,71 +174,71 @@
     pub slots: u32,
     pub waiting: u32,
 }
-///What the sender has just seen of backend servers.
+///Recent observations of backend servers by the sender.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct LoadsWire {
     pub crashes: ::std::vec::Vec<CrashWire>,
     pub failures: ::std::vec::Vec<FailureWire>,
     pub loads: ::std::vec::Vec<LoadWire>,
-    ///Servers that have turned cold or are cold no more.
+    ///Servers that have become cold or are no longer cold.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub warmth: ::std::vec::Vec<WarmthWire>,
 }
-///Who is there, as far as one datagram holds it.
+///The instances that the sender knows, as many as fit into one datagram.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct MembersWire {
     pub members: ::std::vec::Vec<FleetMemberWire>,
 }
-///What backend servers have said of themselves in their answers, beside their loads.
+///What backend servers have reported about themselves in their answers besides load.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct NoticesWire {
-    ///Hashes of the identities of those that leave.
+    ///Hashes of the identities of the servers that are leaving.
     pub leaving: ::std::vec::Vec<u64>,
     pub limits: ::std::vec::Vec<LimitWire>,
 }
-///What the asking instance has.
+///State that the requesting instance already has.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PullWire {
     pub config_version: u64,
     pub position: u64,
-    ///Whether a newer configuration is to be sent; the list is sent in any case.
+    ///Whether to send a newer configuration; the list of backend servers is sent in any case.
     pub wants_config: bool,
 }
-///A removed entry.
+///An entry that was removed from the list.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RemovalWire {
     pub id: ::std::string::String,
     pub revision: u64,
 }
-///What the asking instance lacks.
+///State that the requesting instance lacks.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct StateWire {
-    ///The operator's configuration as it stands in the store, deflated, in base64; empty where the asker has it or did not ask for it.
+    ///The operator's configuration as stored, deflated, in base64; empty if the requesting instance has it or did not request it.
     pub config: ::std::string::String,
-    ///Nothing else is sent: too many ask at once.
+    ///Whether the sender is answering too many requests for state at once; if so, it sends no state.
     pub is_busy: bool,
-    ///Whether `puts` is the whole list.
+    ///Whether `puts` is the complete list of backend servers.
     pub is_whole: bool,
     pub position: u64,
-    ///Short forms of the identities of all servers listed; empty where `puts` and `removals` say all.
+    ///Short forms of the identities of all listed servers; empty if `puts` and `removals` describe the list completely.
     pub present: ::std::vec::Vec<u32>,
     pub puts: ::std::vec::Vec<ListedServerWire>,
     pub removals: ::std::vec::Vec<RemovalWire>,
-    ///What is known of evacuated failure domains. Fields go by place in the order of their names, and this one, which the former release does not know, is the last.
+    ///Known evacuations of failure domains. Fields are encoded by position in the order of their names; this field is unknown to the previous release and therefore has to sort last.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub withdrawn: ::std::vec::Vec<EvacuationWire>,
 }
-///How much longer a backend server stays cold.
+///Remaining time that a backend server stays cold.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct WarmthWire {
-    ///0 for one that is cold no more.
+    ///Remaining time in milliseconds; 0 for a server that is no longer cold.
     pub left_ms: u32,
     ///Hash of the server's identity.
     pub server: u32,
--- a/crates/galenapath-peers/src/generated.rs
+++ b/crates/galenapath-peers/src/generated.rs
@@ -3,32 +3,32 @@
 ///A backend server as the platform lists it.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct BackendWire {
-    ///Where it listens, IP and port.
+    ///Address that it listens on, IP and port.
     pub address: ::std::string::String,
     ///Failure domain.
     pub domain: ::std::string::String,
     ///Name of the backend server.
     pub id: ::std::string::String,
-    ///Whether it takes no new requests.
+    ///Whether it is leaving and takes no new requests.
     pub leaving: bool,
     ///Service that it belongs to.
     pub service: ::std::string::String,
     ///Start of the run, milliseconds since the Unix epoch.
     pub started: u64,
 }
-///What the asker's list of backend servers lacks; nothing where `to` is not ahead of it.
+///Changes that the requesting instance's list of backend servers lacks; none if `to` is not ahead of its position.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct BackendsWire {
-    ///Position that the changes start from; zero where `put` is the whole list.
+    ///Position that the changes start from; zero if `put` is the complete list.
     pub from: u64,
-    ///Backend servers that came or changed.
+    ///Backend servers that were added or changed.
     pub put: ::std::vec::Vec<BackendWire>,
-    ///Names of those that went.
+    ///Names of the backend servers that were removed.
     pub removed: ::std::vec::Vec<::std::string::String>,
     ///Position after the changes.
     pub to: u64,
 }
-///A suspected request that was answered completely.
+///A crash suspect that was answered completely.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct ClearedWire {
     ///Time since the answer, in milliseconds.
@@ -36,13 +36,13 @@
     ///Fingerprint of the request, in hexadecimal.
     pub fingerprint: ::std::string::String,
 }
-///The configuration as the sender has it: the records that the asker lacks, or all of it where the asker is too far behind.
+///The sender's configuration: the records that the requesting instance lacks, or the complete configuration if it is too far behind.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct ConfigWire {
     ///JSON document of the head of the chain of changes.
     #[serde(deserialize_with = "::std::option::Option::deserialize")]
     pub head: ::std::option::Option<::std::string::String>,
-    ///JSON document of the records after the asker's version; alone where it is there.
+    ///JSON document of the records after the requesting instance's version; if present, the other fields are null.
     #[serde(deserialize_with = "::std::option::Option::deserialize")]
     pub records: ::std::option::Option<::std::string::String>,
     ///JSON document of the configuration at that head.
@@ -59,10 +59,10 @@
     ///Fingerprints of the requests, in hexadecimal.
     pub fingerprints: ::std::vec::Vec<::std::string::String>,
 }
-///News that two entry instances tell each other on every probe, in both directions.
+///Updates that two entry instances exchange on every probe, in both directions.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct ExchangeWire {
-    ///Suspected requests that were answered since.
+    ///Crash suspects that have been answered since.
     pub cleared: ::std::vec::Vec<ClearedWire>,
     ///Version of the configuration that the sender has.
     pub config_version: u64,
@@ -73,15 +73,15 @@
     ///Position of the list of backend servers that the sender has.
     #[serde(default)]
     pub list_position: u64,
-    ///News of entry instances; the sender first.
+    ///Status of entry instances; the sender comes first.
     pub members: ::std::vec::Vec<MemberWire>,
 }
-///Outcomes of the filings of an incarnation that stops.
+///Outcomes of the filings of an incarnation that is shutting down.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct HandOverWire {
-    ///The incarnation that stops.
+    ///The incarnation that is shutting down.
     pub incarnation: u64,
-    ///Its filings.
+    ///Outcomes of its filings.
     pub outcomes: ::std::vec::Vec<OutcomeWire>,
 }
 ///A header of an answer.
@@ -92,7 +92,7 @@
     ///Value.
     pub value: ::std::string::String,
 }
-///A run of a backend server that is leaving.
+///A process run of a backend server that is leaving.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct LeavingWire {
     ///Name of the backend server.
@@ -166,7 +166,7 @@
 ///One incarnation of an entry instance.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct MemberWire {
-    ///Raised by the member itself when it speaks.
+    ///Version of the status, raised only by the member itself when it changes or refutes the status.
     pub beat: u64,
     ///Address for callers, IP and port.
     pub callers: ::std::string::String,
@@ -174,7 +174,7 @@
     pub domain: ::std::string::String,
     ///Name of the instance.
     pub id: ::std::string::String,
-    ///This run of it.
+    ///Incarnation of the instance.
     pub incarnation: u64,
     ///Address for peers, IP and port.
     pub peers: ::std::string::String,
@@ -183,12 +183,12 @@
 ///The known outcome of one filing.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 pub struct OutcomeWire {
-    ///Body of a kept answer, in hexadecimal; null where only the status is known.
+    ///Body of a stored answer, in hexadecimal; null if only the status is known.
     #[serde(deserialize_with = "::std::option::Option::deserialize")]
     pub body: ::std::option::Option<::std::string::String>,
     ///Fingerprint of the request, in hexadecimal.
     pub fingerprint: ::std::string::String,
-    ///Headers of a kept answer.
+    ///Headers of a stored answer.
     pub headers: ::std::vec::Vec<HeaderWire>,
     ///Identity of the idempotency key, in hexadecimal.
     pub key: ::std::string::String,
--- a/crates/galenapath-settings/src/generated.rs
+++ b/crates/galenapath-settings/src/generated.rs
@@ -75,7 +75,7 @@
         value.parse()
     }
 }
-///Who this instance is.
+///Identity of this instance.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceWire {
@@ -84,14 +84,14 @@
     ///Name of the instance, unique in the deployment.
     pub name: ::std::string::String,
 }
-///Bounds on what callers can make the instance hold.
+///Limits on the resources that callers can occupy.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, Default, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct LimitsWire {
-    ///Most connections from callers; default 12000.
+    ///Maximum number of connections from callers; default 12000.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub caller_connections: ::std::option::Option<::std::num::NonZeroU32>,
-    ///Longest time that a stop waits for requests in progress; default `30s`.
+    ///Maximum time that a shutdown waits for requests in progress; default `30s`.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub drain_timeout: ::std::option::Option<::std::string::String>,
     ///Largest body of a filing; default 1048576.
@@ -117,7 +117,7 @@
     pub operators: ::std::string::String,
     ///Address for other entry instances.
     pub peers: ::std::string::String,
-    ///Peers' addresses of other instances, for a start while the platform is down.
+    ///Peer addresses of other instances, used to start while the platform is down.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub seeds: ::std::vec::Vec<::std::string::String>,
 }
--- a/crates/galenapath-settings/src/generated_gateway.rs
+++ b/crates/galenapath-settings/src/generated_gateway.rs
@@ -1,17 +1,17 @@
 //! Generated from `schema/gateway.schema.json` by the codegen example. Do not edit.
 
-///What callers are told.
+///Answers about addresses, and connections from callers.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, Default, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayCallersWire {
-    ///Most connections from callers; default 3000.
+    ///Maximum number of connections from callers; default 3000.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub connections: ::std::option::Option<::std::num::NonZeroU32>,
-    ///How long callers may keep an address answer; default `1s`.
+    ///How long callers may cache an address answer; default `1s`.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub keep_addresses: ::std::option::Option<::std::string::String>,
 }
-///Who this instance is.
+///Identity and resources of this instance.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayInstanceWire {
@@ -30,29 +30,29 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayListenWire {
-    ///Address that tells callers where to connect.
+    ///Address for requests about which instances callers connect to.
     pub addresses: ::std::string::String,
     ///Address for callers' requests.
     pub callers: ::std::string::String,
-    ///Address for metrics; none without it.
+    ///Address for metrics; without it, no metrics are served.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub metrics: ::std::option::Option<::std::string::String>,
     ///Address for other instances, TCP and UDP; the port is the same on all instances.
     pub peers: ::std::string::String,
-    ///Address that tells whether the instance is ready.
+    ///Address for readiness checks.
     pub readiness: ::std::string::String,
     ///Other instances, by any of their addresses; the port of `peers` is used.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub seeds: ::std::vec::Vec<::std::string::String>,
 }
-///What is logged.
+///Logging.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, Default, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayLogWire {
     ///Least severe level that is logged; default `info`.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub level: ::std::option::Option<GatewayLogWireLevel>,
-    ///Most lines in a second about requests that were answered well; default 20.
+    ///Maximum number of lines a second about successful requests; default 20.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub lines_per_second: ::std::option::Option<::std::num::NonZeroU32>,
 }
@@ -133,11 +133,11 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, Default, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayProbesWire {
-    ///Most probes to one backend server in a second, of all instances together; default 60.
+    ///Maximum number of probes a second to one backend server from all instances together; default 60.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub per_second: ::std::option::Option<f64>,
 }
-///What all instances together may send to a service beyond the first send of each request.
+///Retry budget: what all instances together may send to a service beyond the first send of each request.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, Default, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayRetriesWire {
@@ -169,11 +169,11 @@
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub stop: ::std::option::Option<GatewayStopWire>,
 }
-///A planned stop.
+///Planned shutdown.
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, Default, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayStopWire {
-    ///Time from the signal to stop until the process is killed; default `6s`.
+    ///Time from the stop signal until the process is killed; default `6s`.
     #[serde(skip_serializing_if = "::std::option::Option::is_none")]
     pub grace: ::std::option::Option<::std::string::String>,
 }
