--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -77,7 +77,7 @@
   admins+=(--admin "$admin")
 done
 
-# Entry instances: every one on a loopback IP of its own, so that ports need no search.
+# Entry instances: each has its own loopback IP, so that fixed ports do not collide.
 net="127.$((RANDOM % 200 + 20)).$((RANDOM % 250 + 1))"
 entries=()
 for n in $(seq 16); do
--- a/scripts/overhead.sh
+++ b/scripts/overhead.sh
@@ -51,8 +51,8 @@
 "$bin/galenactl" --instance "$operators" --token-file "$dir/token" class create lookup \
   --service s --kind lookup --path / --latency-ms 50 >"$dir/create.out"
 
-# An instance holds few connections to a backend server until it has seen for ten seconds that it is
-# alone.
+# An instance limits its connections to a backend server until it has found no other instance for ten
+# seconds.
 sleep 11
 "$bin/examples/overhead" --host s --way "direct=$backend" --way "relay=$relay,$relay_pid" \
   --way "instance=$callers,$entry_pid" "$@"
